--- a/admit/queue.go
+++ b/admission/queue.go
@@ -1,4 +1,4 @@
-package admit
+package admission
 
 import (
 	"math/rand/v2"
--- a/admit/script_test.go
+++ b/admission/script_test.go
@@ -1,4 +1,4 @@
-package admit
+package admission
 
 import (
 	"fmt"
--- a/admit/doc.go
+++ /dev/null
@@ -1,3 +0,0 @@
-// Package admit decides beside an endpoint which requests run now, which wait and which are refused at once.
-// It is pure: the time comes in, decisions go out.
-package admit
--- a/announce/announce_test.go
+++ b/announce/announce_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/rs/zerolog"
 
-	"github.com/lynxplank/lynxplank/follow"
+	"github.com/lynxplank/lynxplank/configsync"
 	"github.com/lynxplank/lynxplank/standin/store"
 	"github.com/lynxplank/lynxplank/table"
 )
@@ -32,7 +32,7 @@
 // line returns this host's line, and whether there is one.
 func line(t *testing.T, s *store.Store) (table.HostInfo, bool) {
 	t.Helper()
-	recs, err := store.NewLocal(s).Get(t.Context(), follow.HostPrefix+"h1")
+	recs, err := store.NewLocal(s).Get(t.Context(), configsync.HostPrefix+"h1")
 	if err != nil {
 		return table.HostInfo{}, false
 	}
@@ -99,9 +99,9 @@
 
 	log := zerolog.Nop()
 	hosts := []table.HostInfo{h, {ID: "h2", Address: "127.0.0.1:2"}}
-	snap := &follow.Snapshot{State: table.NewState(), Hosts: hosts}
+	snap := &configsync.Snapshot{State: table.NewState(), Hosts: hosts}
 	gone := unreachable{"127.0.0.1:1": time.Now().Add(-time.Minute)}
-	r := NewReaper("h2", time.Second, time.Second, &log, store.NewLocal(s), gone, func() *follow.Snapshot { return snap })
+	r := NewReaper("h2", time.Second, time.Second, &log, store.NewLocal(s), gone, func() *configsync.Snapshot { return snap })
 	if got := r.gone(time.Now(), hosts); len(got) != 1 || got[0].ID != h.ID {
 		t.Fatalf("hosts for h2 to take out: got %v, want %s", got, h.ID)
 	}
@@ -110,7 +110,7 @@
 		t.Fatal("got a line of a host that is gone, want none")
 	}
 	state := table.NewState().WithEndpoints(h.Version+1, nil)
-	a.Observe(&follow.Snapshot{State: state})
+	a.Observe(&configsync.Snapshot{State: state})
 	waitLine(t, s, "written again", shows("i1"))
 	a.Withdraw()
 	waitLine(t, s, "withdrawn", func(_ table.HostInfo, ok bool) bool { return !ok })
--- a/announce/announcer.go
+++ b/announce/announcer.go
@@ -10,9 +10,9 @@
 	"github.com/rs/zerolog"
 
 	"github.com/lynxplank/lynxplank/changes"
+	"github.com/lynxplank/lynxplank/configsync"
 	"github.com/lynxplank/lynxplank/events"
 	"github.com/lynxplank/lynxplank/fault"
-	"github.com/lynxplank/lynxplank/follow"
 	"github.com/lynxplank/lynxplank/platform"
 	"github.com/lynxplank/lynxplank/retry"
 	"github.com/lynxplank/lynxplank/table"
@@ -104,7 +104,7 @@
 
 // Observe looks whether a snapshot in force shows the line as it was written; another node may have taken it out. Before the
 // first write it takes what an earlier life of the node has left.
-func (a *Announcer) Observe(snap *follow.Snapshot) {
+func (a *Announcer) Observe(snap *configsync.Snapshot) {
 	a.mu.Lock()
 	if a.written == 0 && snap.SelfLine.Version != 0 {
 		a.found(snap.SelfLine, snap.SelfLine.Version)
@@ -202,7 +202,7 @@
 		return platform.Write{}, false, nil
 	}
 	a.dirty = false
-	write = platform.Write{Key: follow.HostPrefix + a.want.ID, Delete: a.withdrawn}
+	write = platform.Write{Key: configsync.HostPrefix + a.want.ID, Delete: a.withdrawn}
 	if a.withdrawn {
 		return write, true, nil
 	}
--- a/announce/calls_test.go
+++ b/announce/calls_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"github.com/lynxplank/lynxplank/changes"
-	"github.com/lynxplank/lynxplank/follow"
+	"github.com/lynxplank/lynxplank/configsync"
 	"github.com/lynxplank/lynxplank/platform"
 	"github.com/lynxplank/lynxplank/standin/store"
 	"github.com/lynxplank/lynxplank/table"
@@ -55,7 +55,7 @@
 				Host:  table.HostInfo{ID: "h1", Hall: "hall-1", Address: "127.0.0.1:1", Incarnation: rand.Uint64()},
 				Retry: 5 * time.Millisecond, Timeout: time.Second, FirstDelay: firstDelay,
 			}, &log, counted)
-			snap := &follow.Snapshot{State: table.NewState(), Ready: true}
+			snap := &configsync.Snapshot{State: table.NewState(), Ready: true}
 			if c.shown {
 				snap.SelfLine, _ = line(t, s)
 			}
@@ -90,16 +90,16 @@
 		Host:  table.HostInfo{ID: "h1", Hall: "hall-1", Address: "127.0.0.1:1", Incarnation: 2},
 		Retry: 5 * time.Millisecond, Timeout: time.Second,
 	}, &log, store.NewLocal(s))
-	second.Observe(&follow.Snapshot{State: table.NewState(), SelfLine: h, Ready: true})
+	second.Observe(&configsync.Snapshot{State: table.NewState(), SelfLine: h, Ready: true})
 	if err := second.Start(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = second.Stop(context.Background()) })
 	second.Announce(endpoints("i1"))
-	if _, err := store.NewLocal(s).Commit(t.Context(), platform.Txn{Writes: []platform.Write{{Key: follow.HostPrefix + "h1", Delete: true}}}); err != nil {
+	if _, err := store.NewLocal(s).Commit(t.Context(), platform.Txn{Writes: []platform.Write{{Key: configsync.HostPrefix + "h1", Delete: true}}}); err != nil {
 		t.Fatal(err)
 	}
 	state := table.NewState().WithEndpoints(h.Version+1, nil)
-	second.Observe(&follow.Snapshot{State: state, Ready: true})
+	second.Observe(&configsync.Snapshot{State: state, Ready: true})
 	waitLine(t, s, "written again", shows("i1"))
 }
--- a/announce/reaper.go
+++ b/announce/reaper.go
@@ -8,8 +8,8 @@
 	"github.com/rs/zerolog"
 
 	"github.com/lynxplank/lynxplank/changes"
+	"github.com/lynxplank/lynxplank/configsync"
 	"github.com/lynxplank/lynxplank/events"
-	"github.com/lynxplank/lynxplank/follow"
 	"github.com/lynxplank/lynxplank/platform"
 	"github.com/lynxplank/lynxplank/table"
 )
@@ -36,7 +36,7 @@
 	log      *zerolog.Logger
 	table    changes.Table
 	links    Links
-	snapshot func() *follow.Snapshot
+	snapshot func() *configsync.Snapshot
 	stop     context.CancelFunc
 	done     chan struct{}
 }
@@ -47,7 +47,7 @@
 // NewReaper returns a reaper for a node's host; after is how long a host must be out of reach.
 func NewReaper(
 	host string, after, timeout time.Duration, log *zerolog.Logger, t changes.Table, links Links,
-	snapshot func() *follow.Snapshot,
+	snapshot func() *configsync.Snapshot,
 ) *Reaper {
 	return &Reaper{
 		host: host, after: after, timeout: timeout, log: log, table: t, links: links, snapshot: snapshot,
@@ -136,7 +136,7 @@
 func (r *Reaper) take(ctx context.Context, h table.HostInfo) {
 	ctx, cancel := context.WithTimeout(platform.WithReason(ctx, platform.ReasonReap), r.timeout)
 	defer cancel()
-	key := follow.HostPrefix + h.ID
+	key := configsync.HostPrefix + h.ID
 	reply, err := r.table.Commit(ctx, platform.Txn{
 		Checks: []platform.Check{{Key: key, Version: h.Version}}, Writes: []platform.Write{{Key: key, Delete: true}},
 	})
--- a/cli/fatal.go
+++ b/cli/fatal.go
@@ -6,9 +6,9 @@
 	"strings"
 	"time"
 
-	"github.com/lynxplank/lynxplank/fatal"
 	"github.com/lynxplank/lynxplank/fault"
 	"github.com/lynxplank/lynxplank/platform"
+	"github.com/lynxplank/lynxplank/poison"
 	"github.com/lynxplank/lynxplank/table"
 )
 
@@ -47,7 +47,7 @@
 	var lines [][]string
 	after := ""
 	for more := true; more; {
-		page, err := a.table.Scan(a.ctx, fatal.Prefix, after, platform.MostRows)
+		page, err := a.table.Scan(a.ctx, poison.Prefix, after, platform.MostRows)
 		if err != nil {
 			return err
 		}
@@ -73,20 +73,20 @@
 }
 
 func readFatal(rec platform.Record) (fatalReport, error) {
-	value, err := fatal.Decode(rec)
+	value, err := poison.Decode(rec)
 	return fatalReport{
-		Content: strings.TrimPrefix(rec.Key, fatal.Prefix), Service: value.Service, Ends: value.Ends.List(),
-		At: value.At.Time(), Barred: fatal.Barred(value),
+		Content: strings.TrimPrefix(rec.Key, poison.Prefix), Service: value.Service, Ends: value.Ends.List(),
+		At: value.At.Time(), Barred: poison.Barred(value),
 	}, err
 }
 
 // liftFatal takes a request's row out, provided that it is still the one just read; the nodes then count its ends anew.
 func (a *app) liftFatal(text string) error {
-	c, ok := fatal.Parse(text)
+	c, ok := poison.Parse(text)
 	if !ok {
 		return fault.New(fault.BadUsage, text, "want a content of 22 letters, as the list shows it")
 	}
-	key := fatal.KeyOf(c)
+	key := poison.KeyOf(c)
 	recs, err := a.table.Get(a.ctx, key)
 	if err != nil {
 		return err
--- a/cli/files.go
+++ b/cli/files.go
@@ -8,8 +8,8 @@
 
 	"github.com/lynxplank/lynxplank/changes"
 	"github.com/lynxplank/lynxplank/fault"
-	"github.com/lynxplank/lynxplank/sheets"
 	"github.com/lynxplank/lynxplank/table"
+	"github.com/lynxplank/lynxplank/tablefile"
 )
 
 func fileCommands() []command {
@@ -34,7 +34,7 @@
 	if f.NArg() != 1 {
 		return wrongArgs(f)
 	}
-	lines, err := sheets.ReadFile(f.Arg(0), flagValue(f, "kind"))
+	lines, err := tablefile.ReadFile(f.Arg(0), flagValue(f, "kind"))
 	if err != nil {
 		return err
 	}
@@ -60,12 +60,12 @@
 		}
 		all = append(all, rows...)
 	}
-	return sheets.WriteYAML(a.out, all)
+	return tablefile.WriteYAML(a.out, all)
 }
 
 // editsFor returns the edits that bring the table to the lines. A line that names its version is written against it,
 // so that an edit made since the export shows as a conflict.
-func (a *app) editsFor(lines []sheets.Line, prune bool) ([]changes.Edit, error) {
+func (a *app) editsFor(lines []tablefile.Line, prune bool) ([]changes.Edit, error) {
 	current, err := a.current()
 	if err != nil {
 		return nil, err
@@ -120,7 +120,7 @@
 	if f.NArg() != 1 {
 		return nil, wrongArgs(f)
 	}
-	lines, err := sheets.ReadDir(f.Arg(0))
+	lines, err := tablefile.ReadDir(f.Arg(0))
 	if err != nil {
 		return nil, err
 	}
--- a/cli/output.go
+++ b/cli/output.go
@@ -11,8 +11,8 @@
 	"go.yaml.in/yaml/v3"
 
 	"github.com/lynxplank/lynxplank/fault"
-	"github.com/lynxplank/lynxplank/sheets"
 	"github.com/lynxplank/lynxplank/table"
+	"github.com/lynxplank/lynxplank/tablefile"
 )
 
 // jsonRow is a row for programs.
@@ -28,9 +28,9 @@
 func (a *app) printRows(sheet table.Sheet, rows []table.Row) error {
 	switch a.format {
 	case "csv":
-		return sheets.WriteCSV(a.out, sheet, rows)
+		return tablefile.WriteCSV(a.out, sheet, rows)
 	case "yaml":
-		return sheets.WriteYAML(a.out, rows)
+		return tablefile.WriteYAML(a.out, rows)
 	case "json":
 		return printJSON(a.out, jsonRows(sheet, rows))
 	}
--- a/cli/places.go
+++ b/cli/places.go
@@ -7,8 +7,8 @@
 	"strings"
 
 	"github.com/lynxplank/lynxplank/changes"
+	"github.com/lynxplank/lynxplank/configsync"
 	"github.com/lynxplank/lynxplank/fault"
-	"github.com/lynxplank/lynxplank/follow"
 	"github.com/lynxplank/lynxplank/platform"
 	"github.com/lynxplank/lynxplank/table"
 )
@@ -94,7 +94,7 @@
 func (a *app) addAnnounced(halls map[string]bool) error {
 	after := ""
 	for more := true; more; {
-		page, err := a.table.Scan(a.ctx, follow.HostPrefix, after, platform.MostRows)
+		page, err := a.table.Scan(a.ctx, configsync.HostPrefix, after, platform.MostRows)
 		if err != nil {
 			return err
 		}
--- a/cli/reports.go
+++ b/cli/reports.go
@@ -15,12 +15,12 @@
 
 	"github.com/zeromicro/go-zero/rest/httpc"
 
-	"github.com/lynxplank/lynxplank/allowance"
 	"github.com/lynxplank/lynxplank/director"
 	"github.com/lynxplank/lynxplank/fault"
-	"github.com/lynxplank/lynxplank/leftout"
 	"github.com/lynxplank/lynxplank/operator"
+	"github.com/lynxplank/lynxplank/ratelimit"
 	"github.com/lynxplank/lynxplank/settings"
+	"github.com/lynxplank/lynxplank/skipped"
 )
 
 func reportCommands() []command {
@@ -151,10 +151,10 @@
 	if f.NArg() > 1 {
 		return wrongArgs(f)
 	}
-	all := make(map[string]allowance.Use)
+	all := make(map[string]ratelimit.Use)
 	var lines [][]string
 	for _, node := range a.cfg.Nodes {
-		var list []allowance.Use
+		var list []ratelimit.Use
 		if err := a.askNode(node, operator.PathCustomers, &list); err != nil {
 			return err
 		}
@@ -181,7 +181,7 @@
 	var values []nodeEntry
 	var lines [][]string
 	for _, node := range a.cfg.Nodes {
-		var list []leftout.Entry
+		var list []skipped.Entry
 		if err := a.askNode(node, operator.PathLeftOut, &list); err != nil {
 			return err
 		}
@@ -196,10 +196,10 @@
 // nodeEntry is an entry that was left out with the node that did.
 type nodeEntry struct {
 	Node string `json:"node"`
-	leftout.Entry
+	skipped.Entry
 }
 
-func useLine(node string, u allowance.Use) []string {
+func useLine(node string, u ratelimit.Use) []string {
 	number := func(n uint64) string { return strconv.FormatUint(n, 10) }
 	rate := func(r float64) string { return strconv.FormatFloat(r, 'g', -1, 64) }
 	return []string{
--- a/cli/script_test.go
+++ b/cli/script_test.go
@@ -14,11 +14,11 @@
 	"github.com/rogpeppe/go-internal/testscript"
 
 	"github.com/lynxplank/lynxplank/cli"
+	"github.com/lynxplank/lynxplank/configsync"
 	"github.com/lynxplank/lynxplank/demo"
-	"github.com/lynxplank/lynxplank/fatal"
-	"github.com/lynxplank/lynxplank/follow"
-	"github.com/lynxplank/lynxplank/outbound"
+	"github.com/lynxplank/lynxplank/httpclient"
 	"github.com/lynxplank/lynxplank/platform"
+	"github.com/lynxplank/lynxplank/poison"
 	"github.com/lynxplank/lynxplank/standin/store"
 	"github.com/lynxplank/lynxplank/table"
 )
@@ -27,7 +27,7 @@
 func TestMain(m *testing.M) {
 	testscript.Main(m, map[string]func(){
 		"lynxplankctl": func() {
-			outbound.Tune()
+			httpclient.Tune()
 			os.Exit(cli.Main(os.Args[1:], os.Stdout, os.Stderr))
 		},
 	})
@@ -91,10 +91,10 @@
 
 func ended(ts *testscript.TestScript, _ bool, args []string) {
 	s, _ := ts.Value(storeKey{}).(*store.Store)
-	value, err := fatal.Encode(fatal.WithEnds(table.Fatal{}, args[1], args[2:], time.Now()))
+	value, err := poison.Encode(poison.WithEnds(table.Fatal{}, args[1], args[2:], time.Now()))
 	ts.Check(err)
 	_, err = store.NewLocal(s).Commit(context.Background(), platform.Txn{
-		Writes: []platform.Write{{Key: fatal.Prefix + args[0], Value: value}},
+		Writes: []platform.Write{{Key: poison.Prefix + args[0], Value: value}},
 	})
 	ts.Check(err)
 }
@@ -104,7 +104,7 @@
 	value, err := json.Marshal(table.HostInfo{ID: args[0], Hall: args[1], Address: "127.0.0.1:1"})
 	ts.Check(err)
 	_, err = store.NewLocal(s).Commit(context.Background(), platform.Txn{
-		Writes: []platform.Write{{Key: follow.HostPrefix + args[0], Value: value}},
+		Writes: []platform.Write{{Key: configsync.HostPrefix + args[0], Value: value}},
 	})
 	ts.Check(err)
 }
--- a/cmd/lynxplank-bench/main.go
+++ b/cmd/lynxplank-bench/main.go
@@ -8,7 +8,7 @@
 	"os"
 
 	"github.com/lynxplank/lynxplank/bench"
-	"github.com/lynxplank/lynxplank/outbound"
+	"github.com/lynxplank/lynxplank/httpclient"
 )
 
 // scaleSizes are the fleets of the scale measurements, in nodes.
@@ -21,7 +21,7 @@
 const hangingPart = 10
 
 func main() {
-	outbound.Tune()
+	httpclient.Tune()
 	bin := flag.String("bin", "bin", "directory of the programs")
 	only := flag.String("only", "", `"path", "fatal", "slow", "decisions", "healthy", "hanging", "curve", "overload" or "scale"; all but the last without it`)
 	hours := flag.Float64("hours", defaultHours, "endpoint-hours of the healthy runs")
--- a/cmd/lynxplank-standin/main.go
+++ b/cmd/lynxplank-standin/main.go
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"github.com/lynxplank/lynxplank/outbound"
+	"github.com/lynxplank/lynxplank/httpclient"
 	"github.com/lynxplank/lynxplank/standin/backend"
 	"github.com/lynxplank/lynxplank/standin/store"
 )
@@ -51,7 +51,7 @@
 		flag.Usage()
 		os.Exit(2)
 	}
-	outbound.Tune()
+	httpclient.Tune()
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	if err := server.Start(context.Background()); err != nil {
--- a/cmd/lynxplankctl/main.go
+++ b/cmd/lynxplankctl/main.go
@@ -5,10 +5,10 @@
 	"os"
 
 	"github.com/lynxplank/lynxplank/cli"
-	"github.com/lynxplank/lynxplank/outbound"
+	"github.com/lynxplank/lynxplank/httpclient"
 )
 
 func main() {
-	outbound.Tune()
+	httpclient.Tune()
 	os.Exit(cli.Main(os.Args[1:], os.Stdout, os.Stderr))
 }
--- a/cmd/lynxplankd/main.go
+++ b/cmd/lynxplankd/main.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"github.com/lynxplank/lynxplank/events"
+	"github.com/lynxplank/lynxplank/httpclient"
 	"github.com/lynxplank/lynxplank/node"
-	"github.com/lynxplank/lynxplank/outbound"
 	"github.com/lynxplank/lynxplank/settings"
 	"github.com/lynxplank/lynxplank/signals"
 )
@@ -78,7 +78,7 @@
 	}
 	reloads := make(chan os.Signal, 1)
 	signal.Notify(reloads, syscall.SIGHUP)
-	outbound.Tune()
+	httpclient.Tune()
 	out := events.NewWriter(os.Stdout)
 	defer out.Close()
 	n, err := node.New(cfg, out)
--- a/coldstart/door_test.go
+++ b/coldstart/door_test.go
@@ -10,10 +10,10 @@
 	"github.com/cockroachdb/datadriven"
 	"pgregory.net/rapid"
 
-	"github.com/lynxplank/lynxplank/seeded"
+	"github.com/lynxplank/lynxplank/testseed"
 )
 
-func TestMain(m *testing.M) { seeded.Main(m) }
+func TestMain(m *testing.M) { testseed.Main(m) }
 
 // send is a request on its way: admitted at a time, sent later.
 type send struct {
--- a/follow/badrows_test.go
+++ b/configsync/badrows_test.go
@@ -1,4 +1,4 @@
-package follow
+package configsync
 
 import (
 	"context"
@@ -7,8 +7,8 @@
 	"github.com/lynxplank/lynxplank/changes"
 	"github.com/lynxplank/lynxplank/fault"
 	"github.com/lynxplank/lynxplank/gen/peerpb"
-	"github.com/lynxplank/lynxplank/leftout"
 	"github.com/lynxplank/lynxplank/platform"
+	"github.com/lynxplank/lynxplank/skipped"
 	"github.com/lynxplank/lynxplank/standin/store"
 	"github.com/lynxplank/lynxplank/table"
 )
@@ -53,11 +53,11 @@
 	wait(t, f, "the change behind", draining("h2"))
 	late := startFollower(t, s)
 	wait(t, late, "a node that starts then", func(s *Snapshot) bool { return draining("h2")(s) && draining("h8")(s) && draining("h1")(s) })
-	sources := make(map[leftout.Source]int)
+	sources := make(map[skipped.Source]int)
 	for _, e := range late.leftOut.Entries() {
 		sources[e.Source]++
 	}
-	if got, want := sources, 2; got[leftout.Records] != want || got[leftout.Table] != 1 {
+	if got, want := sources, 2; got[skipped.Records] != want || got[skipped.Table] != 1 {
 		t.Errorf("left out: got %v, want %d records and 1 row of the table", late.leftOut.Entries(), want)
 	}
 }
--- a/follow/fatals.go
+++ b/configsync/fatals.go
@@ -1,8 +1,8 @@
-package follow
+package configsync
 
 import (
-	"github.com/lynxplank/lynxplank/fatal"
 	"github.com/lynxplank/lynxplank/platform"
+	"github.com/lynxplank/lynxplank/poison"
 	"github.com/lynxplank/lynxplank/table"
 )
 
@@ -11,7 +11,7 @@
 func (r *ownReader) noteFatals(recs []platform.Record, version uint64) error {
 	rows := make([]table.Row, 0, len(recs))
 	for _, rec := range recs {
-		row, err := fatal.RowOf(rec)
+		row, err := poison.RowOf(rec)
 		if err != nil {
 			r.f.leaveOut(rec.Key, err)
 			continue
--- a/follow/fatals_test.go
+++ b/configsync/fatals_test.go
@@ -1,27 +1,27 @@
-package follow
+package configsync
 
 import (
 	"testing"
 	"time"
 
-	"github.com/lynxplank/lynxplank/fatal"
 	"github.com/lynxplank/lynxplank/platform"
+	"github.com/lynxplank/lynxplank/poison"
 	"github.com/lynxplank/lynxplank/standin/store"
 	"github.com/lynxplank/lynxplank/table"
 )
 
 // fatalRow is what a node writes of a content under which some endpoints ended.
-func fatalRow(t *testing.T, c fatal.Content, ends ...string) platform.Write {
+func fatalRow(t *testing.T, c poison.Content, ends ...string) platform.Write {
 	t.Helper()
-	value, err := fatal.Encode(fatal.WithEnds(table.Fatal{}, "docket-desk", ends, time.Now()))
+	value, err := poison.Encode(poison.WithEnds(table.Fatal{}, "docket-desk", ends, time.Now()))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return platform.Write{Key: fatal.KeyOf(c), Value: value}
+	return platform.Write{Key: poison.KeyOf(c), Value: value}
 }
 
 // endsOf returns a test for how many ends a snapshot shows of a content.
-func endsOf(c fatal.Content, want int) func(*Snapshot) bool {
+func endsOf(c poison.Content, want int) func(*Snapshot) bool {
 	return func(s *Snapshot) bool {
 		row, _ := s.State.Fatal(c.String())
 		return len(row.Value.Ends.List()) == want
@@ -32,25 +32,25 @@
 // removal that the reader's history does not show is found all the same.
 func TestFatalsFollow(t *testing.T) {
 	s := store.New()
-	one, two := fatal.ContentOf("", "GET", "", "/one", nil), fatal.ContentOf("", "GET", "", "/two", nil)
+	one, two := poison.ContentOf("", "GET", "", "/one", nil), poison.ContentOf("", "GET", "", "/two", nil)
 	commit(t, s, fatalRow(t, one, "e1@1"))
 	f := startFollower(t, s)
 	wait(t, f, "the row that was there", endsOf(one, 1))
-	commit(t, s, platform.Write{Key: fatal.Prefix + "short", Value: []byte(`{}`)})
-	commit(t, s, platform.Write{Key: fatal.KeyOf(two), Value: []byte(`{"ends":`)})
+	commit(t, s, platform.Write{Key: poison.Prefix + "short", Value: []byte(`{}`)})
+	commit(t, s, platform.Write{Key: poison.KeyOf(two), Value: []byte(`{"ends":`)})
 	commit(t, s, fatalRow(t, one, "e1@1", "e2@2", "e3@3"))
 	wait(t, f, "a changed row beside unreadable ones", endsOf(one, 3))
 	commit(t, s, fatalRow(t, two, "e4@4"))
 	wait(t, f, "a row that can be read again", endsOf(two, 1))
-	commit(t, s, platform.Write{Key: fatal.KeyOf(two), Delete: true})
+	commit(t, s, platform.Write{Key: poison.KeyOf(two), Delete: true})
 	wait(t, f, "a removal", endsOf(two, 0))
 	wait(t, f, "the other row", endsOf(one, 3))
 }
 
 // TestRemovalWithoutHistory has a reader read the whole table again: a row that is not shown any more is gone.
 func TestRemovalWithoutHistory(t *testing.T) {
-	one, two := fatal.ContentOf("", "GET", "", "/one", nil), fatal.ContentOf("", "GET", "", "/two", nil)
-	rec := func(c fatal.Content, version uint64) platform.Record {
+	one, two := poison.ContentOf("", "GET", "", "/one", nil), poison.ContentOf("", "GET", "", "/two", nil)
+	rec := func(c poison.Content, version uint64) platform.Record {
 		w := fatalRow(t, c, "e1@1")
 		return platform.Record{Key: w.Key, Value: w.Value, Version: version}
 	}
--- a/follow/follower.go
+++ b/configsync/follower.go
@@ -1,4 +1,4 @@
-package follow
+package configsync
 
 import (
 	"cmp"
@@ -10,9 +10,9 @@
 
 	"github.com/lynxplank/lynxplank/changes"
 	"github.com/lynxplank/lynxplank/clock"
-	"github.com/lynxplank/lynxplank/leftout"
 	"github.com/lynxplank/lynxplank/peer"
 	"github.com/lynxplank/lynxplank/platform"
+	"github.com/lynxplank/lynxplank/skipped"
 	"github.com/lynxplank/lynxplank/table"
 )
 
@@ -123,7 +123,7 @@
 	// self is this host's own line as this node knows it.
 	self     atomic.Pointer[table.HostInfo]
 	messages chan message
-	leftOut  *leftout.List
+	leftOut  *skipped.List
 	onChange []func(*Snapshot)
 	stop     context.CancelFunc
 	done     chan struct{}
@@ -159,13 +159,13 @@
 }
 
 // WithLeftOut has entries that cannot be understood noted in l.
-func WithLeftOut(l *leftout.List) Option { return func(w *Follower) { w.leftOut = l } }
+func WithLeftOut(l *skipped.List) Option { return func(w *Follower) { w.leftOut = l } }
 
 // New returns a follower that holds the empty state.
 func New(cfg Config, log *zerolog.Logger, p Platform, links *peer.Manager, opts ...Option) *Follower {
 	f := &Follower{
 		cfg: cfg, log: log, platform: p, links: links,
-		confirms: shared{now: clock.Boot}, leftOut: leftout.New(log),
+		confirms: shared{now: clock.Boot}, leftOut: skipped.New(log),
 		messages: make(chan message, messageBacklog), done: make(chan struct{}),
 		sources: map[table.Plane]*sourceState{table.PlaneRows: {}},
 		wanted:  make(map[string]wantedPull), seedsAsked: make(map[string]bool),
--- a/follow/fuzz_test.go
+++ b/configsync/fuzz_test.go
@@ -1,4 +1,4 @@
-package follow
+package configsync
 
 import (
 	"testing"
--- a/follow/halls.go
+++ b/configsync/halls.go
@@ -1,4 +1,4 @@
-package follow
+package configsync
 
 import (
 	"slices"
@@ -6,8 +6,8 @@
 	"time"
 
 	"github.com/lynxplank/lynxplank/events"
-	"github.com/lynxplank/lynxplank/leftout"
 	"github.com/lynxplank/lynxplank/platform"
+	"github.com/lynxplank/lynxplank/skipped"
 	"github.com/lynxplank/lynxplank/table"
 )
 
@@ -22,7 +22,7 @@
 		}
 		row, err := evacuationOf(hall, rec, now)
 		if err != nil {
-			r.f.leftOut.Note(leftout.Halls, rec.Key, err.Error())
+			r.f.leftOut.Note(skipped.Halls, rec.Key, err.Error())
 			continue
 		}
 		rows = append(rows, row)
--- a/follow/inforce.go
+++ b/configsync/inforce.go
@@ -1,4 +1,4 @@
-package follow
+package configsync
 
 import (
 	"slices"
@@ -6,8 +6,8 @@
 
 	"github.com/lynxplank/lynxplank/events"
 	"github.com/lynxplank/lynxplank/fault"
-	"github.com/lynxplank/lynxplank/leftout"
 	"github.com/lynxplank/lynxplank/platform"
+	"github.com/lynxplank/lynxplank/skipped"
 	"github.com/lynxplank/lynxplank/table"
 )
 
@@ -174,7 +174,7 @@
 	old := f.current.Swap(snap)
 	unread := make(map[string]string)
 	snap.State.Unread(func(u table.Unread) { unread[u.Kind.String()+" "+u.Key] = u.Detail })
-	f.leftOut.Replace(leftout.Table, unread)
+	f.leftOut.Replace(skipped.Table, unread)
 	f.tellHalls(old, snap)
 	for _, hook := range f.onChange {
 		hook(snap)
--- a/follow/read.go
+++ b/configsync/read.go
@@ -1,4 +1,4 @@
-package follow
+package configsync
 
 import (
 	"context"
@@ -12,11 +12,11 @@
 	"time"
 
 	"github.com/lynxplank/lynxplank/changes"
-	"github.com/lynxplank/lynxplank/fatal"
 	"github.com/lynxplank/lynxplank/fault"
-	"github.com/lynxplank/lynxplank/leftout"
 	"github.com/lynxplank/lynxplank/platform"
+	"github.com/lynxplank/lynxplank/poison"
 	"github.com/lynxplank/lynxplank/retry"
+	"github.com/lynxplank/lynxplank/skipped"
 	"github.com/lynxplank/lynxplank/table"
 )
 
@@ -143,7 +143,7 @@
 		switch {
 		case strings.HasPrefix(rec.Key, HostPrefix):
 			r.noteHost(rec)
-		case strings.HasPrefix(rec.Key, fatal.Prefix):
+		case strings.HasPrefix(rec.Key, poison.Prefix):
 			fatals = append(fatals, rec)
 		default:
 			rows = true
@@ -184,7 +184,7 @@
 		}
 		return
 	}
-	r.f.leftOut.Understood(leftout.Records, rec.Key)
+	r.f.leftOut.Understood(skipped.Records, rec.Key)
 	h.Version = rec.Version
 	r.hosts[id] = h
 }
@@ -234,5 +234,5 @@
 
 // leaveOut notes a record that cannot be read.
 func (f *Follower) leaveOut(key string, err error) {
-	f.leftOut.Note(leftout.Records, key, err.Error())
+	f.leftOut.Note(skipped.Records, key, err.Error())
 }
--- a/follow/readconfig.go
+++ b/configsync/readconfig.go
@@ -1,13 +1,13 @@
-package follow
+package configsync
 
 import (
 	"context"
 	"maps"
 
 	"github.com/lynxplank/lynxplank/fault"
-	"github.com/lynxplank/lynxplank/leftout"
 	"github.com/lynxplank/lynxplank/platform"
 	"github.com/lynxplank/lynxplank/retry"
+	"github.com/lynxplank/lynxplank/skipped"
 	"github.com/lynxplank/lynxplank/table"
 )
 
@@ -83,7 +83,7 @@
 		now[platform.KeyConfig] = m.bad.Error()
 	}
 	if m.config != nil || m.bad != nil {
-		f.leftOut.Replace(leftout.Configuration, now)
+		f.leftOut.Replace(skipped.Configuration, now)
 	}
 }
 
--- a/director/main_test.go
+++ b/director/main_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"github.com/lynxplank/lynxplank/seeded"
+	"github.com/lynxplank/lynxplank/testseed"
 )
 
 // TestMain fixes the seed of the property tests.
-func TestMain(m *testing.M) { seeded.Main(m) }
+func TestMain(m *testing.M) { testseed.Main(m) }
--- a/egress/egress.go
+++ b/egress/egress.go
@@ -12,15 +12,15 @@
 	"github.com/lynxplank/lynxplank/breaker"
 	"github.com/lynxplank/lynxplank/clock"
 	"github.com/lynxplank/lynxplank/coldstart"
+	"github.com/lynxplank/lynxplank/configsync"
 	"github.com/lynxplank/lynxplank/contract"
 	"github.com/lynxplank/lynxplank/dedupe"
-	"github.com/lynxplank/lynxplank/fatal"
 	"github.com/lynxplank/lynxplank/fault"
-	"github.com/lynxplank/lynxplank/flight"
-	"github.com/lynxplank/lynxplank/follow"
 	"github.com/lynxplank/lynxplank/gen/peerpb"
+	"github.com/lynxplank/lynxplank/inflight"
 	"github.com/lynxplank/lynxplank/memory"
 	"github.com/lynxplank/lynxplank/peer"
+	"github.com/lynxplank/lynxplank/poison"
 	"github.com/lynxplank/lynxplank/registry"
 	"github.com/lynxplank/lynxplank/retry"
 	"github.com/lynxplank/lynxplank/table"
@@ -80,8 +80,8 @@
 	closed context.Context //nolint:containedctx // the door's life
 	shut   context.CancelFunc
 	// working is the work under way.
-	working flight.Requests
-	flight  flight.Counter
+	working inflight.Requests
+	flight  inflight.Counter
 	cancel  context.CancelFunc
 
 	mu     sync.Mutex
@@ -96,24 +96,24 @@
 // Endings gathers what is known of requests under which endpoints ended.
 type Endings interface {
 	// Ends returns how many endpoints ended under a content.
-	Ends(c fatal.Content) int
+	Ends(c poison.Content) int
 	// Ran notes that an endpoint ran a content to a good end.
-	Ran(c fatal.Content)
+	Ran(c poison.Content)
 	// EndedHere takes it that an endpoint ended while it ran some contents.
-	EndedHere(endpoint, service string, contents []fatal.Content)
+	EndedHere(endpoint, service string, contents []poison.Content)
 }
 
 // noEndings gathers nothing.
 type noEndings struct{}
 
 // Ends implements Endings.
-func (noEndings) Ends(fatal.Content) int { return 0 }
+func (noEndings) Ends(poison.Content) int { return 0 }
 
 // Ran implements Endings.
-func (noEndings) Ran(fatal.Content) {}
+func (noEndings) Ran(poison.Content) {}
 
 // EndedHere implements Endings.
-func (noEndings) EndedHere(string, string, []fatal.Content) {}
+func (noEndings) EndedHere(string, string, []poison.Content) {}
 
 // WithEndings has the egress tell of endpoints that end, and refuse requests that end them.
 func WithEndings(g Endings) Option { return func(e *Egress) { e.endings = g } }
@@ -178,7 +178,7 @@
 
 // Observe takes a new snapshot in force: it tells the keys' homes which endpoints share them, and the endpoints beside this
 // node what their part of the retries is. These count from when the endpoint is in the table, not from its first request.
-func (e *Egress) Observe(now time.Time, snap *follow.Snapshot) {
+func (e *Egress) Observe(now time.Time, snap *configsync.Snapshot) {
 	e.keys.observe(now, snap, e.cfg.Host)
 	e.observeHall(snap.State)
 	where := snap.RegionOf(e.cfg.Hall)
@@ -233,7 +233,7 @@
 }
 
 // Work tells of the work that the endpoints beside this node have through it, and of that for a request, "" for none.
-func (e *Egress) Work(request string) flight.Work { return e.working.Of(request) }
+func (e *Egress) Work(request string) inflight.Work { return e.working.Of(request) }
 
 // Settle notes how a claimed request ended elsewhere.
 func (e *Egress) Settle(msg *peerpb.Settle) {
--- a/egress/find.go
+++ b/egress/find.go
@@ -3,10 +3,10 @@
 import (
 	"math/rand/v2"
 
-	"github.com/lynxplank/lynxplank/fatal"
 	"github.com/lynxplank/lynxplank/fault"
 	"github.com/lynxplank/lynxplank/gen/peerpb"
 	"github.com/lynxplank/lynxplank/peer"
+	"github.com/lynxplank/lynxplank/poison"
 	"github.com/lynxplank/lynxplank/region"
 	"github.com/lynxplank/lynxplank/registry"
 	"github.com/lynxplank/lynxplank/table"
@@ -20,7 +20,7 @@
 		return nil, peer.NotRun(fault.Draining, drainRetryAfter)
 	}
 	// Whoever sent it may not have heard yet.
-	if e.endings.Ends(contentOf(d)) >= fatal.BarAfter {
+	if e.endings.Ends(contentOf(d)) >= poison.BarAfter {
 		return nil, peer.NotRun(fault.FatalRequest, 0)
 	}
 	if e.configs.stale(e.state(), d) {
--- a/egress/keys.go
+++ b/egress/keys.go
@@ -6,11 +6,11 @@
 	"sync"
 	"time"
 
+	"github.com/lynxplank/lynxplank/configsync"
 	"github.com/lynxplank/lynxplank/dedupe"
 	"github.com/lynxplank/lynxplank/fault"
-	"github.com/lynxplank/lynxplank/follow"
 	"github.com/lynxplank/lynxplank/gen/peerpb"
-	"github.com/lynxplank/lynxplank/keyhome"
+	"github.com/lynxplank/lynxplank/keyowner"
 	"github.com/lynxplank/lynxplank/peer"
 	"github.com/lynxplank/lynxplank/region"
 	"github.com/lynxplank/lynxplank/table"
@@ -53,7 +53,7 @@
 }
 
 // observe notes the lists of endpoints that a snapshot puts in force.
-func (k *keys) observe(now time.Time, snap *follow.Snapshot, host string) {
+func (k *keys) observe(now time.Time, snap *configsync.Snapshot, host string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.noteBounds(snap.State)
@@ -68,7 +68,7 @@
 			from = time.Time{}
 		}
 		list := keyList{from: from, regions: make(map[string]string, len(v.Endpoints))}
-		list.endpoints = keyhome.Names(v, func(e table.Endpoint) bool { return snap.Listed(e.Host) })
+		list.endpoints = keyowner.Names(v, func(e table.Endpoint) bool { return snap.Listed(e.Host) })
 		for _, e := range v.Endpoints {
 			list.regions[e.Key] = snap.RegionOf(e.Value.Hall)
 		}
@@ -132,7 +132,7 @@
 	c := d.GetClaim()
 	id := dedupe.ID{Scope: c.GetScope(), Key: c.GetKey()}
 	fits := func(l keyList) bool {
-		place := slices.Index(keyhome.Homes(l.within(regions), id), d.GetEndpoint())
+		place := slices.Index(keyowner.Homes(l.within(regions), id), d.GetEndpoint())
 		// A caller that marks no attempts has the first home only, so it must have been the same one all along.
 		return place == 0 || place > 0 && c.GetAttempt() > 0
 	}
--- a/egress/keys_test.go
+++ b/egress/keys_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/lynxplank/lynxplank/dedupe"
 	"github.com/lynxplank/lynxplank/gen/peerpb"
-	"github.com/lynxplank/lynxplank/keyhome"
+	"github.com/lynxplank/lynxplank/keyowner"
 	"github.com/lynxplank/lynxplank/region"
 )
 
@@ -93,7 +93,7 @@
 	if m.first.IsZero() {
 		m.first = m.now
 	}
-	m.sends = append(m.sends, &modelSend{attempt: attempt, homes: keyhome.Homes(m.lists[list], m.id)})
+	m.sends = append(m.sends, &modelSend{attempt: attempt, homes: keyowner.Homes(m.lists[list], m.id)})
 }
 
 // step does the next step of a send, as ingress.runKeyed does it.
--- a/egress/local.go
+++ b/egress/local.go
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/lynxplank/lynxplank/admit"
+	"github.com/lynxplank/lynxplank/admission"
 	"github.com/lynxplank/lynxplank/breaker"
 	"github.com/lynxplank/lynxplank/clock"
 	"github.com/lynxplank/lynxplank/coldstart"
@@ -51,7 +51,7 @@
 	looks *time.Timer
 	// shown is the breaker's state as it was last logged.
 	shown breaker.State
-	queue *admit.Queue
+	queue *admission.Queue
 	slots int
 	// stalls are the runs that wait for their callers, since when they do.
 	stalls []stall
@@ -76,14 +76,14 @@
 	broken   []brokenWork
 	checking bool
 	// waiters are the channels on which queued requests wait for their decision, by the queue's ids.
-	waiters map[uint64]chan admit.Decision
+	waiters map[uint64]chan admission.Decision
 }
 
 func newLocal(row table.Entry[table.Endpoint], cfg Config, c clock.Clock, pool *upstream.Pool, random *rand.Rand) *local {
 	return &local{
 		key: row.Key, contract: cfg.Contract, pool: pool, breaker: breaker.New(cfg.Breaker),
-		queue:   admit.NewQueue(int(row.Value.Slots), 0, random),
-		waiters: make(map[uint64]chan admit.Decision),
+		queue:   admission.NewQueue(int(row.Value.Slots), 0, random),
+		waiters: make(map[uint64]chan admission.Decision),
 		asking:  make(map[uint64]peer.Sink),
 		times:   latency.NewKinds(), retries: retry.NewBudget(time.Now(), cfg.Retries.Window, cfg.KeySettle),
 		arrivals: arrivals{toldAt: time.Now()}, cold: coldstart.NewDoor(c(), cfg.Cold), clock: c,
@@ -128,7 +128,7 @@
 func (l *local) admit(ctx context.Context, id uint64, d *peerpb.Dispatch, s *table.State) *peerpb.End {
 	customer, _ := s.Customer(d.GetCustomer())
 	deadline, _ := ctx.Deadline()
-	r := admit.Request{
+	r := admission.Request{
 		ID: id, Customer: payer(d), Weight: float64(customer.Value.Weight), Deadline: deadline,
 		Aim: time.Now().Add(aimLeft(d)), Priority: int(d.GetPriority()), NoWait: d.GetExchange() != 0 && !d.GetWait(), Work: l.expected(d),
 	}
@@ -171,24 +171,24 @@
 }
 
 // offer puts a request to the queue: it returns a channel and until when the decision comes on it, or the decision at once.
-func (l *local) offer(r admit.Request) (chan admit.Decision, time.Time, *peerpb.End) {
+func (l *local) offer(r admission.Request) (chan admission.Decision, time.Time, *peerpb.End) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	decision, evicted := l.queue.Offer(time.Now(), r)
 	l.deliver(evicted)
-	if decision.Action != admit.Run {
+	if decision.Action != admission.Run {
 		l.press()
 	}
-	if decision.Action != admit.Wait {
+	if decision.Action != admission.Wait {
 		return nil, time.Time{}, refusal(decision)
 	}
-	wait := make(chan admit.Decision, 1)
+	wait := make(chan admission.Decision, 1)
 	l.waiters[r.ID] = wait
 	return wait, decision.Until, nil
 }
 
 // deliver hands decisions to the requests that wait for them; the lock is held.
-func (l *local) deliver(decisions []admit.Decision) {
+func (l *local) deliver(decisions []admission.Decision) {
 	for _, d := range decisions {
 		if wait := l.waiters[d.ID]; wait != nil {
 			wait <- d
@@ -198,14 +198,14 @@
 }
 
 // giveUp takes a request whose context has ended out of the queue.
-func (l *local) giveUp(ctx context.Context, id uint64, wait chan admit.Decision) *peerpb.End {
+func (l *local) giveUp(ctx context.Context, id uint64, wait chan admission.Decision) *peerpb.End {
 	l.mu.Lock()
 	canceled := l.queue.Cancel(id)
 	delete(l.waiters, id)
 	l.mu.Unlock()
 	if !canceled {
 		// The decision came at the same moment; a slot that it granted goes back unused.
-		if decision := <-wait; decision.Action == admit.Run {
+		if decision := <-wait; decision.Action == admission.Run {
 			l.free(0)
 		}
 	}
@@ -217,8 +217,8 @@
 }
 
 // refusal is the end of a request that the queue refused, nil of one that runs.
-func refusal(d admit.Decision) *peerpb.End {
-	if d.Action == admit.Run {
+func refusal(d admission.Decision) *peerpb.End {
+	if d.Action == admission.Run {
 		return nil
 	}
 	return peer.NotRun(d.Code, d.RetryAfter)
--- a/egress/regions_test.go
+++ b/egress/regions_test.go
@@ -4,9 +4,9 @@
 	"testing"
 	"time"
 
+	"github.com/lynxplank/lynxplank/configsync"
 	"github.com/lynxplank/lynxplank/dedupe"
 	"github.com/lynxplank/lynxplank/fault"
-	"github.com/lynxplank/lynxplank/follow"
 	"github.com/lynxplank/lynxplank/gen/peerpb"
 	"github.com/lynxplank/lynxplank/region"
 	"github.com/lynxplank/lynxplank/table"
@@ -46,7 +46,7 @@
 			e := at(t, "127.0.0.1:1", table.Active)
 			s := bind(t, e.state(), c.where, c.route, c.customer)
 			e.state = func() *table.State { return s }
-			e.Observe(time.Now(), &follow.Snapshot{State: s})
+			e.Observe(time.Now(), &configsync.Snapshot{State: s})
 			d := payment()
 			d.Route, d.Customer = "r1", "acme"
 			if keyed {
@@ -68,7 +68,7 @@
 	now := time.Unix(1e6, 0)
 	k := newKeys(dedupe.NewHome(window, 1<<20), window, 0)
 	home := at(t, "127.0.0.1:1", table.Active).state()
-	observe := func(s *table.State) { k.observe(now, &follow.Snapshot{State: s, Ready: true}, "h1") }
+	observe := func(s *table.State) { k.observe(now, &configsync.Snapshot{State: s, Ready: true}, "h1") }
 	resend := func(name string, claimed, held []string) dedupe.Verdict {
 		set := region.Any.With(claimed)
 		d := payment()
--- a/flight/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package flight counts work under way, so that a planned stop can wait for it.
-package flight
--- a/outbound/client.go
+++ b/httpclient/client.go
@@ -1,4 +1,4 @@
-package outbound
+package httpclient
 
 import (
 	"net"
--- a/flight/requests.go
+++ b/inflight/requests.go
@@ -1,4 +1,4 @@
-package flight
+package inflight
 
 import "sync"
 
--- a/ingress/call.go
+++ b/ingress/call.go
@@ -10,11 +10,11 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"github.com/lynxplank/lynxplank/configsync"
 	"github.com/lynxplank/lynxplank/contract"
-	"github.com/lynxplank/lynxplank/fatal"
 	"github.com/lynxplank/lynxplank/fault"
-	"github.com/lynxplank/lynxplank/follow"
 	"github.com/lynxplank/lynxplank/gen/peerpb"
+	"github.com/lynxplank/lynxplank/poison"
 	"github.com/lynxplank/lynxplank/region"
 	"github.com/lynxplank/lynxplank/table"
 )
@@ -43,7 +43,7 @@
 	ofRepeat float64
 	timeout  time.Duration
 	// content is what the request asks for, the same whenever it comes again.
-	content  fatal.Content
+	content  poison.Content
 	key      string
 	attempt  uint32
 	method   string
@@ -56,7 +56,7 @@
 }
 
 // parse reads what the caller asks for; the failure says what is wrong.
-func (g *Ingress) parse(snap *follow.Snapshot, r *http.Request) (call, *fault.Error) {
+func (g *Ingress) parse(snap *configsync.Snapshot, r *http.Request) (call, *fault.Error) {
 	say, bad := g.cfg.Contract.Call(r.Header)
 	c := call{
 		id: say.ID, method: r.Method, target: r.RequestURI, host: r.Host, path: r.URL.EscapedPath(), customer: say.Customer, token: say.Token,
--- a/ingress/hedge.go
+++ b/ingress/hedge.go
@@ -6,12 +6,12 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/lynxplank/lynxplank/allowance"
 	"github.com/lynxplank/lynxplank/director"
 	"github.com/lynxplank/lynxplank/events"
-	"github.com/lynxplank/lynxplank/fatal"
 	"github.com/lynxplank/lynxplank/fault"
 	"github.com/lynxplank/lynxplank/gen/peerpb"
+	"github.com/lynxplank/lynxplank/poison"
+	"github.com/lynxplank/lynxplank/ratelimit"
 	"github.com/lynxplank/lynxplank/retry"
 )
 
@@ -47,7 +47,7 @@
 	at     time.Duration
 	second bool
 	// pass is what the customer's limit has let pass for a second send.
-	pass   allowance.Pass
+	pass   ratelimit.Pass
 	cancel context.CancelFunc
 	end    *peerpb.End
 }
@@ -117,7 +117,7 @@
 func (h *hedge) startSecond(ctx context.Context) {
 	x := h.x
 	if x.sends+len(h.running)+len(h.done)+len(h.beaten) >= x.mostSends() || x.refusals.refusing() || !x.adopt() ||
-		x.progress.isClosed() || x.ended >= mostOwnEnds || x.g.fatal.Ends(x.call.content) >= fatal.SendOnce {
+		x.progress.isClosed() || x.ended >= mostOwnEnds || x.g.fatal.Ends(x.call.content) >= poison.SendOnce {
 		return
 	}
 	if len(h.declined) >= mostSeconds {
--- a/ingress/hedge_test.go
+++ b/ingress/hedge_test.go
@@ -18,14 +18,14 @@
 	"github.com/rs/zerolog"
 	"google.golang.org/protobuf/proto"
 
+	"github.com/lynxplank/lynxplank/configsync"
 	"github.com/lynxplank/lynxplank/director"
-	"github.com/lynxplank/lynxplank/fatal"
 	"github.com/lynxplank/lynxplank/fault"
-	"github.com/lynxplank/lynxplank/flight"
-	"github.com/lynxplank/lynxplank/follow"
 	"github.com/lynxplank/lynxplank/gen/peerpb"
+	"github.com/lynxplank/lynxplank/inflight"
 	"github.com/lynxplank/lynxplank/metrics"
 	"github.com/lynxplank/lynxplank/peer"
+	"github.com/lynxplank/lynxplank/poison"
 	"github.com/lynxplank/lynxplank/table"
 )
 
@@ -60,7 +60,7 @@
 type endsBefore int
 
 // Ends implements Fatal.
-func (n endsBefore) Ends(fatal.Content) int { return int(n) }
+func (n endsBefore) Ends(poison.Content) int { return int(n) }
 
 func endName(end *peerpb.End) string {
 	return strings.TrimSpace(strings.ToLower(strings.TrimPrefix(end.GetOutcome().String(), "OUTCOME_")) + " " + end.GetCode())
@@ -115,7 +115,7 @@
 func (*scripted) Settle(*peerpb.Settle) {}
 
 // Work implements Local.
-func (*scripted) Work(string) flight.Work { return flight.Work{} }
+func (*scripted) Work(string) inflight.Work { return inflight.Work{} }
 
 // fleet returns a state with a service of some endpoints, all beside this node, and a route to it.
 func fleet(t *testing.T, endpoints, attempts int) *table.State {
@@ -214,6 +214,6 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	snap := &follow.Snapshot{State: s, Ready: true}
-	return New(Config{Host: "h1"}, &log, func() *follow.Snapshot { return snap }, d, nil, local, m)
+	snap := &configsync.Snapshot{State: s, Ready: true}
+	return New(Config{Host: "h1"}, &log, func() *configsync.Snapshot { return snap }, d, nil, local, m)
 }
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -11,19 +11,19 @@
 
 	"github.com/rs/zerolog"
 
-	"github.com/lynxplank/lynxplank/allowance"
 	"github.com/lynxplank/lynxplank/clock"
+	"github.com/lynxplank/lynxplank/configsync"
 	"github.com/lynxplank/lynxplank/contract"
 	"github.com/lynxplank/lynxplank/director"
 	"github.com/lynxplank/lynxplank/events"
-	"github.com/lynxplank/lynxplank/fatal"
 	"github.com/lynxplank/lynxplank/fault"
-	"github.com/lynxplank/lynxplank/flight"
-	"github.com/lynxplank/lynxplank/follow"
 	"github.com/lynxplank/lynxplank/gen/peerpb"
+	"github.com/lynxplank/lynxplank/inflight"
 	"github.com/lynxplank/lynxplank/memory"
 	"github.com/lynxplank/lynxplank/metrics"
 	"github.com/lynxplank/lynxplank/peer"
+	"github.com/lynxplank/lynxplank/poison"
+	"github.com/lynxplank/lynxplank/ratelimit"
 	"github.com/lynxplank/lynxplank/table"
 )
 
@@ -46,21 +46,21 @@
 	// Settle notes how a claimed request ended elsewhere.
 	Settle(s *peerpb.Settle)
 	// Work tells of the work that the endpoints beside this node have, and of that for a request.
-	Work(request string) flight.Work
+	Work(request string) inflight.Work
 }
 
 // Ingress is the handler of the callers' listener.
 type Ingress struct {
 	cfg      Config
 	log      *zerolog.Logger
-	snapshot func() *follow.Snapshot
+	snapshot func() *configsync.Snapshot
 	director *director.Director
 	links    *peer.Manager
 	local    Local
 	metrics  *metrics.Metrics
 	limits   Limits
 	splits   *splits
-	settling flight.Counter
+	settling inflight.Counter
 	// sent numbers this node's offers.
 	sent atomic.Uint64
 	// confirm asks the platform whether this node's configuration is the newest.
@@ -79,15 +79,15 @@
 // Limits keeps customers to what they may send.
 type Limits interface {
 	// Take lets one send of a customer pass, else tells when one should.
-	Take(ctx context.Context, customer string) (allowance.Pass, time.Duration, bool)
+	Take(ctx context.Context, customer string) (ratelimit.Pass, time.Duration, bool)
 }
 
 // unlimited lets everything pass.
 type unlimited struct{}
 
 // Take implements Limits.
-func (unlimited) Take(context.Context, string) (allowance.Pass, time.Duration, bool) {
-	return allowance.Pass{}, 0, true
+func (unlimited) Take(context.Context, string) (ratelimit.Pass, time.Duration, bool) {
+	return ratelimit.Pass{}, 0, true
 }
 
 // WithLimits has customers kept to their limits.
@@ -96,14 +96,14 @@
 // Fatal tells what is known of requests under which endpoints ended.
 type Fatal interface {
 	// Ends returns how many endpoints ended under a content.
-	Ends(c fatal.Content) int
+	Ends(c poison.Content) int
 }
 
 // harmless knows of no such request.
 type harmless struct{}
 
 // Ends implements Fatal.
-func (harmless) Ends(fatal.Content) int { return 0 }
+func (harmless) Ends(poison.Content) int { return 0 }
 
 // WithFatal has requests that end endpoints refused.
 func WithFatal(f Fatal) Option { return func(g *Ingress) { g.fatal = f } }
@@ -125,7 +125,7 @@
 
 // New returns an ingress.
 func New(
-	cfg Config, log *zerolog.Logger, snapshot func() *follow.Snapshot, d *director.Director,
+	cfg Config, log *zerolog.Logger, snapshot func() *configsync.Snapshot, d *director.Director,
 	links *peer.Manager, local Local, m *metrics.Metrics, opts ...Option,
 ) *Ingress {
 	if cfg.Contract == nil {
@@ -230,8 +230,8 @@
 		g.refuseEarly(w, r, c.id, end, err.Detail)
 		return end
 	}
-	c.content = fatal.ContentOf(c.customer, c.method, c.route.Value.Host, c.target, body.head)
-	if g.fatal.Ends(c.content) >= fatal.BarAfter {
+	c.content = poison.ContentOf(c.customer, c.method, c.route.Value.Host, c.target, body.head)
+	if g.fatal.Ends(c.content) >= poison.BarAfter {
 		pass.Return()
 		end := peer.NotRun(fault.FatalRequest, 0)
 		events.RequestRefused.Log(g.log).Str("request", c.id).Str("code", end.GetCode()).Str("service", c.service.Key).
--- a/ingress/inplace_test.go
+++ b/ingress/inplace_test.go
@@ -10,8 +10,8 @@
 	"testing"
 
 	"github.com/lynxplank/lynxplank/fault"
-	"github.com/lynxplank/lynxplank/flight"
 	"github.com/lynxplank/lynxplank/gen/peerpb"
+	"github.com/lynxplank/lynxplank/inflight"
 	"github.com/lynxplank/lynxplank/peer"
 )
 
@@ -41,7 +41,7 @@
 func (*restarted) Settle(*peerpb.Settle) {}
 
 // Work implements Local.
-func (*restarted) Work(string) flight.Work { return flight.Work{} }
+func (*restarted) Work(string) inflight.Work { return inflight.Work{} }
 
 // TestEndpointInPlaceIsAskedAtOnce sends requests that may and may not repeat to a fleet that has just come back: each is served
 // by the endpoint that stands where the asked one stood, at the first try, under an exchange of its own.
--- a/ingress/keyed.go
+++ b/ingress/keyed.go
@@ -9,7 +9,7 @@
 	"github.com/lynxplank/lynxplank/director"
 	"github.com/lynxplank/lynxplank/fault"
 	"github.com/lynxplank/lynxplank/gen/peerpb"
-	"github.com/lynxplank/lynxplank/keyhome"
+	"github.com/lynxplank/lynxplank/keyowner"
 	"github.com/lynxplank/lynxplank/peer"
 	"github.com/lynxplank/lynxplank/table"
 )
@@ -64,7 +64,7 @@
 func (x *exchange) homes(id dedupe.ID) []table.Entry[table.Endpoint] {
 	snap := x.g.snapshot()
 	view, _ := snap.State.Service(x.call.service.Key)
-	names := keyhome.Homes(keyhome.Names(view, func(e table.Endpoint) bool {
+	names := keyowner.Homes(keyowner.Names(view, func(e table.Endpoint) bool {
 		return snap.Listed(e.Host) && x.call.regions.Allows(snap.RegionOf(e.Hall))
 	}), id)
 	out := make([]table.Entry[table.Endpoint], 0, len(names))
--- a/ingress/keys_test.go
+++ b/ingress/keys_test.go
@@ -12,10 +12,10 @@
 
 	"github.com/cockroachdb/datadriven"
 
+	"github.com/lynxplank/lynxplank/configsync"
 	"github.com/lynxplank/lynxplank/fault"
-	"github.com/lynxplank/lynxplank/flight"
-	"github.com/lynxplank/lynxplank/follow"
 	"github.com/lynxplank/lynxplank/gen/peerpb"
+	"github.com/lynxplank/lynxplank/inflight"
 	"github.com/lynxplank/lynxplank/peer"
 	"github.com/lynxplank/lynxplank/table"
 )
@@ -60,7 +60,7 @@
 func (*keyed) Settle(*peerpb.Settle) {}
 
 // Work implements Local.
-func (*keyed) Work(string) flight.Work { return flight.Work{} }
+func (*keyed) Work(string) inflight.Work { return inflight.Work{} }
 
 // rows reads lines of "KIND KEY COLUMN=VALUE ..." or "KIND KEY -".
 func (k *keyed) rows(lines string, from *table.State) *table.State {
@@ -135,7 +135,7 @@
 	k := &keyed{t: t, state: fleet(t, 1, 1)}
 	k.newest = k.state
 	k.g = ingressWith(t, k.state, k)
-	k.g.snapshot = func() *follow.Snapshot { return &follow.Snapshot{State: k.state, Ready: true} }
+	k.g.snapshot = func() *configsync.Snapshot { return &configsync.Snapshot{State: k.state, Ready: true} }
 	k.g.confirm = func(context.Context) bool {
 		if k.newest == nil {
 			return false
--- a/ingress/refuse_test.go
+++ b/ingress/refuse_test.go
@@ -7,9 +7,9 @@
 
 	"github.com/rs/zerolog"
 
+	"github.com/lynxplank/lynxplank/configsync"
 	"github.com/lynxplank/lynxplank/contract"
 	"github.com/lynxplank/lynxplank/fault"
-	"github.com/lynxplank/lynxplank/follow"
 	"github.com/lynxplank/lynxplank/header"
 	"github.com/lynxplank/lynxplank/table"
 )
@@ -18,7 +18,7 @@
 // re-send is told as unknown, because an earlier send may have run, and only a first attempt as not run.
 func TestRefusedResendIsUnknown(t *testing.T) {
 	log := zerolog.Nop()
-	notReady := func() *follow.Snapshot { return &follow.Snapshot{State: table.NewState()} }
+	notReady := func() *configsync.Snapshot { return &configsync.Snapshot{State: table.NewState()} }
 	g := New(Config{Host: "h1"}, &log, notReady, nil, nil, nil, nil)
 	stopping := RefuseUnread(contract.Own{})
 	refusals := map[string]func(w http.ResponseWriter, r *http.Request){
--- a/ingress/regions_test.go
+++ b/ingress/regions_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"github.com/lynxplank/lynxplank/follow"
+	"github.com/lynxplank/lynxplank/configsync"
 	"github.com/lynxplank/lynxplank/region"
 	"github.com/lynxplank/lynxplank/table"
 )
@@ -19,8 +19,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	snap := &follow.Snapshot{State: s}
-	x := &exchange{g: &Ingress{cfg: Config{Hall: "own"}, snapshot: func() *follow.Snapshot { return snap }}}
+	snap := &configsync.Snapshot{State: s}
+	x := &exchange{g: &Ingress{cfg: Config{Hall: "own"}, snapshot: func() *configsync.Snapshot { return snap }}}
 	for _, c := range []struct {
 		bound []string
 		want  map[string]bool
--- a/keyhome/doc.go
+++ /dev/null
@@ -1,3 +0,0 @@
-// Package keyhome tells where an idempotency key is at home: at the endpoints of its service that rendezvous hashing
-// ranks highest for it.
-package keyhome
--- a/keyhome/keyhome.go
+++ b/keyowner/keyhome.go
@@ -1,4 +1,4 @@
-package keyhome
+package keyowner
 
 import (
 	"cmp"
--- a/memory/budget_test.go
+++ b/memory/budget_test.go
@@ -6,10 +6,10 @@
 
 	"pgregory.net/rapid"
 
-	"github.com/lynxplank/lynxplank/seeded"
+	"github.com/lynxplank/lynxplank/testseed"
 )
 
-func TestMain(m *testing.M) { seeded.Main(m) }
+func TestMain(m *testing.M) { testseed.Main(m) }
 
 // TestBudgetIsKeptAndShared draws holdings of a few customers that grow, shrink and end: never is more held than the budget's size, what is
 // held adds up, and no customer grows beyond what it leaves free.
--- a/node/config.go
+++ b/node/config.go
@@ -7,19 +7,19 @@
 	"os"
 	"time"
 
-	"github.com/lynxplank/lynxplank/allowance"
 	"github.com/lynxplank/lynxplank/announce"
 	"github.com/lynxplank/lynxplank/breaker"
 	"github.com/lynxplank/lynxplank/coldstart"
+	"github.com/lynxplank/lynxplank/configsync"
 	"github.com/lynxplank/lynxplank/contract"
 	"github.com/lynxplank/lynxplank/egress"
 	"github.com/lynxplank/lynxplank/eject"
 	"github.com/lynxplank/lynxplank/fault"
-	"github.com/lynxplank/lynxplank/follow"
 	"github.com/lynxplank/lynxplank/ingress"
 	"github.com/lynxplank/lynxplank/peer"
 	"github.com/lynxplank/lynxplank/pipeline"
 	"github.com/lynxplank/lynxplank/platform"
+	"github.com/lynxplank/lynxplank/ratelimit"
 	"github.com/lynxplank/lynxplank/retry"
 	"github.com/lynxplank/lynxplank/serve"
 	"github.com/lynxplank/lynxplank/settings"
@@ -77,8 +77,8 @@
 	}
 }
 
-func (n *Node) followConfig() follow.Config {
-	c := follow.Config{
+func (n *Node) followConfig() configsync.Config {
+	c := configsync.Config{
 		Host: n.cfg.Node.ID, Hall: n.cfg.Node.Hall,
 		Retry: n.cfg.Platform.Retry.Std(), RetryMost: n.cfg.Platform.RetryMost.Std(),
 		Wait: n.cfg.Platform.Wait.Std(), Timeout: n.cfg.Platform.Timeout.Std(),
@@ -153,10 +153,10 @@
 const spareShare = 0.2
 
 // allowanceConfig is how customers are kept to their limits.
-func (n *Node) allowanceConfig() allowance.Config {
+func (n *Node) allowanceConfig() ratelimit.Config {
 	c := n.cfg.Limits
-	return allowance.Config{
-		Host: n.cfg.Node.ID, Hall: n.cfg.Node.Hall, Policy: allowance.Policy(c.Policy), Settle: c.Settle.Std(),
+	return ratelimit.Config{
+		Host: n.cfg.Node.ID, Hall: n.cfg.Node.Hall, Policy: ratelimit.Policy(c.Policy), Settle: c.Settle.Std(),
 		Window: c.Window.Std(), Spare: int(c.Slack * spareShare),
 	}
 }
--- a/node/contract_test.go
+++ b/node/contract_test.go
@@ -18,17 +18,17 @@
 	"go.uber.org/goleak"
 
 	"github.com/lynxplank/lynxplank/changes"
+	"github.com/lynxplank/lynxplank/configsync"
 	"github.com/lynxplank/lynxplank/demo"
 	"github.com/lynxplank/lynxplank/events"
-	"github.com/lynxplank/lynxplank/follow"
+	"github.com/lynxplank/lynxplank/httpclient"
 	"github.com/lynxplank/lynxplank/kernel"
 	"github.com/lynxplank/lynxplank/node"
 	"github.com/lynxplank/lynxplank/operator"
-	"github.com/lynxplank/lynxplank/outbound"
 	"github.com/lynxplank/lynxplank/settings"
-	"github.com/lynxplank/lynxplank/sheets"
 	"github.com/lynxplank/lynxplank/standin/backend"
 	"github.com/lynxplank/lynxplank/standin/store"
+	"github.com/lynxplank/lynxplank/tablefile"
 )
 
 // fixture is one node in this process with an endpoint and a platform beside it.
@@ -44,7 +44,7 @@
 
 func start(t *testing.T, declarations string, extra ...string) *fixture {
 	t.Helper()
-	outbound.Tune()
+	httpclient.Tune()
 	ports, err := demo.FreePorts(5)
 	if err != nil {
 		t.Fatal(err)
@@ -96,7 +96,7 @@
 
 func (f *fixture) declare(t *testing.T, text string) {
 	t.Helper()
-	lines, err := sheets.ReadYAML("rows.yaml", []byte(text))
+	lines, err := tablefile.ReadYAML("rows.yaml", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -126,7 +126,7 @@
 
 func (f *fixture) waitRevision(t *testing.T) {
 	t.Helper()
-	follower, err := kernel.Lookup[*follow.Follower](f.node.Kernel(), node.Follower)
+	follower, err := kernel.Lookup[*configsync.Follower](f.node.Kernel(), node.Follower)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/node/node.go
+++ b/node/node.go
@@ -11,27 +11,27 @@
 	"github.com/rs/zerolog"
 	"github.com/zeromicro/go-zero/rest"
 
-	"github.com/lynxplank/lynxplank/allowance"
 	"github.com/lynxplank/lynxplank/announce"
-	"github.com/lynxplank/lynxplank/barring"
+	"github.com/lynxplank/lynxplank/configsync"
 	"github.com/lynxplank/lynxplank/director"
 	"github.com/lynxplank/lynxplank/egress"
 	"github.com/lynxplank/lynxplank/events"
 	"github.com/lynxplank/lynxplank/fault"
-	"github.com/lynxplank/lynxplank/follow"
 	"github.com/lynxplank/lynxplank/gen/peerpb"
 	"github.com/lynxplank/lynxplank/ingress"
 	"github.com/lynxplank/lynxplank/kernel"
-	"github.com/lynxplank/lynxplank/leftout"
 	"github.com/lynxplank/lynxplank/memory"
 	"github.com/lynxplank/lynxplank/metrics"
 	"github.com/lynxplank/lynxplank/operator"
 	"github.com/lynxplank/lynxplank/peer"
 	"github.com/lynxplank/lynxplank/pipeline"
 	"github.com/lynxplank/lynxplank/platform"
+	"github.com/lynxplank/lynxplank/quarantine"
+	"github.com/lynxplank/lynxplank/ratelimit"
 	"github.com/lynxplank/lynxplank/registry"
 	"github.com/lynxplank/lynxplank/serve"
 	"github.com/lynxplank/lynxplank/settings"
+	"github.com/lynxplank/lynxplank/skipped"
 	"github.com/lynxplank/lynxplank/table"
 )
 
@@ -39,13 +39,13 @@
 const (
 	// Links is the peer.Manager.
 	Links = "links"
-	// Follower is the follow.Follower.
+	// Follower is the configsync.Follower.
 	Follower = "follower"
 	// Announcer is the announce.Announcer.
 	Announcer = "announcer"
 	// Restorer asks the endpoint beside a restarted node who it is.
 	Restorer = "restorer"
-	// Keeper is the barring.Keeper.
+	// Keeper is the quarantine.Keeper.
 	Keeper = "keeper"
 	// Reaper is the announce.Reaper.
 	Reaper = "reaper"
@@ -89,7 +89,7 @@
 	// budget is what the node may hold of bodies.
 	budget *memory.Budget
 	// leftOut are the entries that could not be understood.
-	leftOut *leftout.List
+	leftOut *skipped.List
 }
 
 // levelHook drops what is below a level that may change.
@@ -115,7 +115,7 @@
 	n.level.Store(int32(level))
 	log := zerolog.New(out).Hook(&n.level).With().Timestamp().Str("node", cfg.Node.ID).Logger()
 	n.log = &log
-	n.leftOut = leftout.New(n.log)
+	n.leftOut = skipped.New(n.log)
 	n.budget = memory.New(cfg.Memory.Bodies())
 	if err := n.build(); err != nil {
 		return nil, err
@@ -137,7 +137,7 @@
 	for _, stage := range []string{string(ingress.StageWaiting), string(ingress.StageRunning), string(ingress.StageAnswering), stageBehind} {
 		m.StopOutlasted(stage, 0)
 	}
-	var follower *follow.Follower
+	var follower *configsync.Follower
 	links := peer.NewManager(n.peerConfig(incarnation, config), n.log,
 		peer.WithBeatHook(func(name string, revisions table.Revisions) { follower.Hint(name, revisions) }))
 	calls := &storeCalls{metrics: m}
@@ -145,20 +145,20 @@
 		platform.WithToken(string(n.cfg.Platform.Token)), platform.WithTimeout(n.cfg.Platform.Timeout.Std()),
 		platform.WithObserver(calls.note))
 	var e *egress.Egress
-	var limits *allowance.Allowance
-	var keeper *barring.Keeper
+	var limits *ratelimit.Allowance
+	var keeper *quarantine.Keeper
 	a := announce.New(n.announceConfig(incarnation), n.log, client)
-	follower = follow.New(n.followConfig(), n.log, client, links, follow.WithChangeHook(func(s *follow.Snapshot) {
+	follower = configsync.New(n.followConfig(), n.log, client, links, configsync.WithChangeHook(func(s *configsync.Snapshot) {
 		e.Observe(time.Now(), s)
 		a.Observe(s)
 		limits.Observe(s)
 		keeper.Observe(s)
-	}), follow.WithLeftOut(n.leftOut))
-	keeper = barring.New(barring.Config{
+	}), configsync.WithLeftOut(n.leftOut))
+	keeper = quarantine.New(quarantine.Config{
 		Host: n.cfg.Node.ID, Retry: n.cfg.Platform.Retry.Std(), RetryMost: n.cfg.Platform.RetryMost.Std(), Timeout: n.cfg.Platform.Timeout.Std(),
 	}, n.log, client, links, follower.Snapshot)
 	egressOptions := []egress.Option{egress.WithEndings(keeper), egress.WithBudget(n.budget)}
-	limits = allowance.New(n.allowanceConfig(), n.log, follower.Snapshot, links, m)
+	limits = ratelimit.New(n.allowanceConfig(), n.log, follower.Snapshot, links, m)
 	follower.ShowSelf(n.announceConfig(incarnation).Host)
 	view := hostView{self: n.cfg.Node.ID, snapshot: follower.Snapshot, links: links}
 	if n.announced = n.registry(a, follower, incarnation); n.announced != nil {
@@ -183,8 +183,8 @@
 
 // register registers the parts and the listeners, in the order in which they start.
 func (n *Node) register(
-	links *peer.Manager, f *follow.Follower, d *director.Director, e *egress.Egress, g *ingress.Ingress,
-	caps *allowance.Allowance, m *metrics.Metrics, calls *storeCalls, keeper *barring.Keeper,
+	links *peer.Manager, f *configsync.Follower, d *director.Director, e *egress.Egress, g *ingress.Ingress,
+	caps *ratelimit.Allowance, m *metrics.Metrics, calls *storeCalls, keeper *quarantine.Keeper,
 ) {
 	o := operator.New(n.cfg.Node.ID, n.cfg.Node.Hall, string(n.cfg.Operators.Token), f.Snapshot, f.Reads, e, d, links, caps, n.leftOut,
 		m.Handler())
@@ -220,7 +220,7 @@
 }
 
 // registry holds the endpoints that announce themselves, nil where they are rows of the table.
-func (n *Node) registry(a *announce.Announcer, f *follow.Follower, incarnation uint64) *registry.Registry {
+func (n *Node) registry(a *announce.Announcer, f *configsync.Follower, incarnation uint64) *registry.Registry {
 	if !n.cfg.Announced.Listen.IsValid() {
 		return nil
 	}
@@ -256,9 +256,9 @@
 // handler answers peers.
 type handler struct {
 	*egress.Egress
-	follower *follow.Follower
-	limits   *allowance.Allowance
-	keeper   *barring.Keeper
+	follower *configsync.Follower
+	limits   *ratelimit.Allowance
+	keeper   *quarantine.Keeper
 }
 
 // Ended implements peer.Handler.
@@ -278,13 +278,13 @@
 
 // Deltas implements peer.Handler.
 func (h handler) Deltas(from table.Revisions, changesOnly bool) []*peerpb.Delta {
-	return follow.Deltas(h.follower.Snapshot(), from, changesOnly)
+	return configsync.Deltas(h.follower.Snapshot(), from, changesOnly)
 }
 
 // hostView tells what the host list and the links say of a host.
 type hostView struct {
 	self     string
-	snapshot func() *follow.Snapshot
+	snapshot func() *configsync.Snapshot
 	links    *peer.Manager
 }
 
--- a/node/restore.go
+++ b/node/restore.go
@@ -7,7 +7,7 @@
 
 	"github.com/zeromicro/go-zero/rest/httpc"
 
-	"github.com/lynxplank/lynxplank/follow"
+	"github.com/lynxplank/lynxplank/configsync"
 	"github.com/lynxplank/lynxplank/platform"
 	"github.com/lynxplank/lynxplank/registry"
 	"github.com/lynxplank/lynxplank/table"
@@ -25,7 +25,7 @@
 type restorer struct {
 	address  string
 	registry *registry.Registry
-	snapshot func() *follow.Snapshot
+	snapshot func() *configsync.Snapshot
 	stop     context.CancelFunc
 	done     chan struct{}
 }
@@ -63,7 +63,7 @@
 }
 
 // ask restores the endpoint that the store's line of this host names, if that is what stands at the address now.
-func (r *restorer) ask(ctx context.Context, snap *follow.Snapshot) {
+func (r *restorer) ask(ctx context.Context, snap *configsync.Snapshot) {
 	for _, a := range snap.SelfLine.Endpoints {
 		service, ok := snap.State.Service(a.Value.Service)
 		if !ok || service.Value.ProbePath == "" || a.Value.Phase != table.Active || a.Value.Address != r.address {
--- a/node/sampler.go
+++ b/node/sampler.go
@@ -7,13 +7,13 @@
 
 	"github.com/rs/zerolog"
 
-	"github.com/lynxplank/lynxplank/barring"
+	"github.com/lynxplank/lynxplank/configsync"
 	"github.com/lynxplank/lynxplank/egress"
 	"github.com/lynxplank/lynxplank/events"
-	"github.com/lynxplank/lynxplank/follow"
 	"github.com/lynxplank/lynxplank/memory"
 	"github.com/lynxplank/lynxplank/metrics"
 	"github.com/lynxplank/lynxplank/peer"
+	"github.com/lynxplank/lynxplank/quarantine"
 	"github.com/lynxplank/lynxplank/table"
 )
 
@@ -28,13 +28,13 @@
 // sampler brings into the metrics what the node's parts hold; it is a kernel component.
 type sampler struct {
 	metrics  *metrics.Metrics
-	follower *follow.Follower
+	follower *configsync.Follower
 	egress   *egress.Egress
 	links    *peer.Manager
 	// events is nil where the log is not counted.
 	events eventCounter
 	calls  *storeCalls
-	keeper *barring.Keeper
+	keeper *quarantine.Keeper
 	budget *memory.Budget
 	log    *zerolog.Logger
 
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -9,12 +9,12 @@
 
 	"github.com/zeromicro/go-zero/rest"
 
-	"github.com/lynxplank/lynxplank/allowance"
+	"github.com/lynxplank/lynxplank/configsync"
 	"github.com/lynxplank/lynxplank/director"
 	"github.com/lynxplank/lynxplank/egress"
 	"github.com/lynxplank/lynxplank/fault"
-	"github.com/lynxplank/lynxplank/follow"
-	"github.com/lynxplank/lynxplank/leftout"
+	"github.com/lynxplank/lynxplank/ratelimit"
+	"github.com/lynxplank/lynxplank/skipped"
 	"github.com/lynxplank/lynxplank/table"
 )
 
@@ -26,9 +26,9 @@
 	PathStatus = "/v1/status"
 	// PathExplain answers a list of director.Explanation for the query's "service", or all.
 	PathExplain = "/v1/explain"
-	// PathCustomers answers a list of allowance.Use, the customers with a limit that the node has met.
+	// PathCustomers answers a list of ratelimit.Use, the customers with a limit that the node has met.
 	PathCustomers = "/v1/customers"
-	// PathLeftOut answers a list of leftout.Entry, what the node could not understand and left out.
+	// PathLeftOut answers a list of skipped.Entry, what the node could not understand and left out.
 	PathLeftOut = "/v1/leftout"
 	// PathRow answers the row in force of the query's "kind" and "key".
 	PathRow = "/v1/row"
@@ -114,20 +114,20 @@
 type Operator struct {
 	node, hall string
 	token      string
-	snapshot   func() *follow.Snapshot
+	snapshot   func() *configsync.Snapshot
 	reads      func() (own, config bool)
 	egress     *egress.Egress
 	director   *director.Director
 	links      Links
-	limits     *allowance.Allowance
-	leftOut    *leftout.List
+	limits     *ratelimit.Allowance
+	leftOut    *skipped.List
 	metrics    http.Handler
 }
 
 // New returns the answers of one node; token must come with every request but that for health.
 func New(
-	node, hall, token string, snapshot func() *follow.Snapshot, reads func() (own, config bool),
-	e *egress.Egress, d *director.Director, l Links, limits *allowance.Allowance, leftOut *leftout.List, metrics http.Handler,
+	node, hall, token string, snapshot func() *configsync.Snapshot, reads func() (own, config bool),
+	e *egress.Egress, d *director.Director, l Links, limits *ratelimit.Allowance, leftOut *skipped.List, metrics http.Handler,
 ) *Operator {
 	return &Operator{
 		node: node, hall: hall, token: token, snapshot: snapshot, reads: reads,
--- a/outbound/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package outbound sets, once a process, how the HTTP calls of go-zero's httpc are made.
-package outbound
--- a/peer/manager.go
+++ b/peer/manager.go
@@ -15,7 +15,7 @@
 	"github.com/rs/zerolog"
 
 	"github.com/lynxplank/lynxplank/fault"
-	"github.com/lynxplank/lynxplank/flight"
+	"github.com/lynxplank/lynxplank/inflight"
 	"github.com/lynxplank/lynxplank/table"
 )
 
@@ -85,7 +85,7 @@
 	closed    atomic.Bool
 	// inbound counts the connections that peers have opened, working what they ask, bytes what links carry.
 	inbound atomic.Int64
-	working flight.Counter
+	working inflight.Counter
 	bytes   atomic.Uint64
 
 	mu sync.Mutex
--- a/pipeline/server.go
+++ b/pipeline/server.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"github.com/lynxplank/lynxplank/fault"
-	"github.com/lynxplank/lynxplank/flight"
+	"github.com/lynxplank/lynxplank/inflight"
 	"github.com/lynxplank/lynxplank/memory"
 )
 
@@ -49,7 +49,7 @@
 	closing  atomic.Bool
 	refusing atomic.Bool
 	// flight counts the requests under way, open the connections.
-	flight flight.Counter
+	flight inflight.Counter
 	open   atomic.Int64
 
 	mu    sync.Mutex
--- a/fatal/content.go
+++ b/poison/content.go
@@ -1,4 +1,4 @@
-package fatal
+package poison
 
 import (
 	"crypto/sha256"
--- a/fatal/record.go
+++ b/poison/record.go
@@ -1,4 +1,4 @@
-package fatal
+package poison
 
 import (
 	"encoding/json"
--- a/barring/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -1,4 +1,4 @@
-package barring
+package quarantine
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 	"github.com/cockroachdb/datadriven"
 
-	"github.com/lynxplank/lynxplank/fatal"
+	"github.com/lynxplank/lynxplank/poison"
 )
 
 // TestFleetBarsFatalRequests runs testdata/fleets. Commands:
@@ -36,7 +36,7 @@
 			f := drawnFleet(uint64(seed), least, most, d)
 			broken := false
 			for c, late := range f.late {
-				if late > fatal.BarAfter {
+				if late > poison.BarAfter {
 					broken = true
 					out += fmt.Sprintf("seed %d: %d begin past the bound\n", seed, late)
 				}
@@ -63,9 +63,9 @@
 	random := rand.New(rand.NewPCG(seed, 7))
 	f := newSimFleet(random, least+random.IntN(most-least+1))
 	f.alone = d.HasArg("alone")
-	var contents []fatal.Content
+	var contents []poison.Content
 	for i := range 1 + random.IntN(10) {
-		contents = append(contents, fatal.ContentOf("", "GET", "", fmt.Sprint(i), nil))
+		contents = append(contents, poison.ContentOf("", "GET", "", fmt.Sprint(i), nil))
 	}
 	every := 50 + random.IntN(950)
 	for f.now < 30*time.Second {
--- a/barring/innocent_test.go
+++ b/quarantine/innocent_test.go
@@ -1,4 +1,4 @@
-package barring
+package quarantine
 
 import (
 	"fmt"
@@ -8,12 +8,12 @@
 
 	"github.com/cockroachdb/datadriven"
 
-	"github.com/lynxplank/lynxplank/fatal"
+	"github.com/lynxplank/lynxplank/poison"
 )
 
 // simWork is one request under way at an endpoint.
 type simWork struct {
-	content fatal.Content
+	content poison.Content
 	ends    time.Duration
 }
 
@@ -23,7 +23,7 @@
 	*simFleet
 	// work is what is under way at each node's endpoint, ran what ran well there lately.
 	work map[*simNode][]simWork
-	ran  map[*simNode]*fatal.Recent
+	ran  map[*simNode]*poison.Recent
 	// asked counts the requests, held those that were kept from all although they do no harm.
 	asked, held int
 }
@@ -34,7 +34,7 @@
 	for seed := range days {
 		random := rand.New(rand.NewPCG(uint64(seed), 11))
 		day := &innocentDay{
-			simFleet: newSimFleet(random, least+random.IntN(most-least+1)), work: make(map[*simNode][]simWork), ran: make(map[*simNode]*fatal.Recent),
+			simFleet: newSimFleet(random, least+random.IntN(most-least+1)), work: make(map[*simNode][]simWork), ran: make(map[*simNode]*poison.Recent),
 		}
 		if !d.HasArg("mute") {
 			day.object = day.ranHere
@@ -68,14 +68,14 @@
 		if f.random.IntN(5) == 0 {
 			name = fmt.Sprint("common ", f.random.IntN(common))
 		}
-		f.ask(fatal.ContentOf("", "GET", "", name, nil), 0)
+		f.ask(poison.ContentOf("", "GET", "", name, nil), 0)
 		f.step()
 		f.finish()
 	}
 }
 
 // ask has a caller ask for something at some node, which sends it to some endpoint.
-func (f *innocentDay) ask(c fatal.Content, again int) {
+func (f *innocentDay) ask(c poison.Content, again int) {
 	f.asked++
 	n, to := f.nodes[f.random.IntN(len(f.nodes))], f.nodes[f.random.IntN(len(f.nodes))]
 	if !f.reaches(n) || !f.reaches(to) || to.down > f.now {
@@ -110,9 +110,9 @@
 	f.work[n] = nil
 }
 
-func (f *innocentDay) recent(n *simNode) *fatal.Recent {
+func (f *innocentDay) recent(n *simNode) *poison.Recent {
 	if f.ran[n] == nil {
-		f.ran[n] = fatal.NewRecent()
+		f.ran[n] = poison.NewRecent()
 	}
 	return f.ran[n]
 }
@@ -137,7 +137,7 @@
 }
 
 // ranHere has a node that has seen a content run well say so.
-func (f *innocentDay) ranHere(n *simNode, c fatal.Content) bool {
+func (f *innocentDay) ranHere(n *simNode, c poison.Content) bool {
 	if !f.recent(n).Within(f.time(), c, ranWithin) {
 		return false
 	}
@@ -147,7 +147,7 @@
 }
 
 // tellRan tells some others, who pass on what is news to them.
-func (f *innocentDay) tellRan(n *simNode, c fatal.Content, most int) {
+func (f *innocentDay) tellRan(n *simNode, c poison.Content, most int) {
 	for range most {
 		to := f.nodes[f.random.IntN(len(f.nodes))]
 		if !f.reaches(n) || f.random.IntN(20) == 0 {
@@ -163,7 +163,7 @@
 }
 
 // cleared has a node take out the row of what ran well, unless that says more by then.
-func (f *innocentDay) cleared(n *simNode, c fatal.Content) {
+func (f *innocentDay) cleared(n *simNode, c poison.Content) {
 	n.known.lift(c, n.known.of(c))
 	version := n.known.rows[c].Version
 	if version == 0 || f.away > f.now {
--- a/barring/keeper.go
+++ b/quarantine/keeper.go
@@ -1,4 +1,4 @@
-package barring
+package quarantine
 
 import (
 	"context"
@@ -9,10 +9,10 @@
 	"github.com/rs/zerolog"
 
 	"github.com/lynxplank/lynxplank/changes"
+	"github.com/lynxplank/lynxplank/configsync"
 	"github.com/lynxplank/lynxplank/events"
-	"github.com/lynxplank/lynxplank/fatal"
-	"github.com/lynxplank/lynxplank/follow"
 	"github.com/lynxplank/lynxplank/gen/peerpb"
+	"github.com/lynxplank/lynxplank/poison"
 	"github.com/lynxplank/lynxplank/table"
 )
 
@@ -50,10 +50,10 @@
 	cfg      Config
 	log      *zerolog.Logger
 	links    Links
-	snapshot func() *follow.Snapshot
+	snapshot func() *configsync.Snapshot
 	table    changes.Table
 	// ends is how many ends are known of each content; nobody asks anything else on the way of a request.
-	ends atomic.Pointer[map[fatal.Content]int]
+	ends atomic.Pointer[map[poison.Content]int]
 	wake chan struct{}
 	stop context.CancelFunc
 	done chan struct{}
@@ -62,20 +62,20 @@
 	known *known
 	// ran are the contents that ran well lately, own those that it is up to this node to write, clear those whose rows it is to take
 	// out, with since when: what came later stands.
-	ran   *fatal.Recent
-	own   map[fatal.Content]bool
-	clear map[fatal.Content]time.Time
+	ran   *poison.Recent
+	own   map[poison.Content]bool
+	clear map[poison.Content]time.Time
 	// revision is that of the rows that are known.
 	revision uint64
 }
 
 // New returns a keeper that knows nothing.
-func New(cfg Config, log *zerolog.Logger, t changes.Table, links Links, snapshot func() *follow.Snapshot) *Keeper {
+func New(cfg Config, log *zerolog.Logger, t changes.Table, links Links, snapshot func() *configsync.Snapshot) *Keeper {
 	k := &Keeper{
 		cfg: cfg, log: log, table: t, links: links, snapshot: snapshot, wake: make(chan struct{}, 1), done: make(chan struct{}),
-		known: newKnown(), ran: fatal.NewRecent(), own: make(map[fatal.Content]bool), clear: make(map[fatal.Content]time.Time),
+		known: newKnown(), ran: poison.NewRecent(), own: make(map[poison.Content]bool), clear: make(map[poison.Content]time.Time),
 	}
-	k.ends.Store(&map[fatal.Content]int{})
+	k.ends.Store(&map[poison.Content]int{})
 	return k
 }
 
@@ -95,15 +95,15 @@
 }
 
 // Ends returns how many endpoints are known to have ended under a content.
-func (k *Keeper) Ends(c fatal.Content) int { return (*k.ends.Load())[c] }
+func (k *Keeper) Ends(c poison.Content) int { return (*k.ends.Load())[c] }
 
 // Barred tells whether a content is kept from all endpoints.
-func (k *Keeper) Barred(c fatal.Content) bool { return k.Ends(c) >= fatal.BarAfter }
+func (k *Keeper) Barred(c poison.Content) bool { return k.Ends(c) >= poison.BarAfter }
 
 // Counts returns how many contents are suspected and how many are barred.
 func (k *Keeper) Counts() (suspected, barred int) {
 	for _, n := range *k.ends.Load() {
-		if n >= fatal.BarAfter {
+		if n >= poison.BarAfter {
 			barred++
 		} else {
 			suspected++
@@ -113,8 +113,8 @@
 }
 
 // Ran notes that an endpoint beside this node ran a content to a good end: whatever ended others, it was not this.
-func (k *Keeper) Ran(c fatal.Content) {
-	if c == (fatal.Content{}) {
+func (k *Keeper) Ran(c poison.Content) {
+	if c == (poison.Content{}) {
 		return
 	}
 	k.mu.Lock()
@@ -127,7 +127,7 @@
 }
 
 // acquit takes it that a content ran well: whatever ended endpoints, it was not this. The lock is held.
-func (k *Keeper) acquit(now time.Time, c fatal.Content) {
+func (k *Keeper) acquit(now time.Time, c poison.Content) {
 	if k.known.of(c).Ends == "" {
 		return
 	}
@@ -145,7 +145,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, b := range word.GetContents() {
-		c, ok := fatal.Read(b)
+		c, ok := poison.Read(b)
 		if !ok || !k.known.lift(c, k.known.of(c)) {
 			continue
 		}
@@ -162,13 +162,13 @@
 }
 
 // EndedHere takes it that the endpoint beside this node ended while it ran some contents.
-func (k *Keeper) EndedHere(endpoint, service string, contents []fatal.Content) {
+func (k *Keeper) EndedHere(endpoint, service string, contents []poison.Content) {
 	now := time.Now()
-	end := fatal.EndOf(endpoint, now)
+	end := poison.EndOf(endpoint, now)
 	word := &peerpb.Ended{End: end, Service: service, AtMillis: now.UnixMilli()}
 	k.mu.Lock()
 	for _, c := range contents {
-		if c == (fatal.Content{}) || k.ran.Within(now, c, ranWithin) || !k.known.hear(now, c, service, end, now) {
+		if c == (poison.Content{}) || k.ran.Within(now, c, ranWithin) || !k.known.hear(now, c, service, end, now) {
 			continue
 		}
 		k.own[c] = true
@@ -199,7 +199,7 @@
 	next := &peerpb.Ended{End: word.GetEnd(), Service: word.GetService(), AtMillis: word.GetAtMillis()}
 	k.mu.Lock()
 	for _, b := range word.GetContents() {
-		c, ok := fatal.Read(b)
+		c, ok := poison.Read(b)
 		if !ok || !k.known.hear(now, c, word.GetService(), word.GetEnd(), at) {
 			continue
 		}
@@ -219,7 +219,7 @@
 }
 
 // Observe takes a new snapshot in force.
-func (k *Keeper) Observe(snap *follow.Snapshot) {
+func (k *Keeper) Observe(snap *configsync.Snapshot) {
 	revision := snap.State.Revisions()[table.PlaneFatal]
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -227,9 +227,9 @@
 		return
 	}
 	k.revision = revision
-	rows := make(map[fatal.Content]table.Entry[table.Fatal])
+	rows := make(map[poison.Content]table.Entry[table.Fatal])
 	snap.State.Fatals(func(e table.Entry[table.Fatal]) {
-		if c, ok := fatal.Parse(e.Key); ok {
+		if c, ok := poison.Parse(e.Key); ok {
 			rows[c] = e
 		}
 	})
@@ -243,14 +243,14 @@
 	ends := k.known.ends()
 	old := *k.ends.Load()
 	for c, n := range ends {
-		if n >= fatal.BarAfter && old[c] < fatal.BarAfter {
+		if n >= poison.BarAfter && old[c] < poison.BarAfter {
 			f := k.known.of(c)
 			events.RequestBarred.Log(k.log).Stringer("content", c).Str("service", f.Service).
 				Strs("ends", f.Ends.List()).Time("at", f.At.Time()).Send()
 		}
 	}
 	for c, n := range old {
-		if _, ok := ends[c]; !ok && n >= fatal.BarAfter {
+		if _, ok := ends[c]; !ok && n >= poison.BarAfter {
 			events.RequestLifted.Log(k.log).Stringer("content", c).Send()
 		}
 	}
--- a/barring/keeper_test.go
+++ b/quarantine/keeper_test.go
@@ -1,4 +1,4 @@
-package barring
+package quarantine
 
 import (
 	"context"
@@ -9,10 +9,10 @@
 
 	"github.com/rs/zerolog"
 
-	"github.com/lynxplank/lynxplank/fatal"
-	"github.com/lynxplank/lynxplank/follow"
+	"github.com/lynxplank/lynxplank/configsync"
 	"github.com/lynxplank/lynxplank/gen/peerpb"
 	"github.com/lynxplank/lynxplank/platform"
+	"github.com/lynxplank/lynxplank/poison"
 	"github.com/lynxplank/lynxplank/standin/store"
 	"github.com/lynxplank/lynxplank/table"
 )
@@ -49,13 +49,13 @@
 	t.Helper()
 	h := &hall{store: store.New(), deaf: make(map[*Keeper]bool)}
 	log := zerolog.Nop()
-	snap := &follow.Snapshot{State: table.NewState()}
+	snap := &configsync.Snapshot{State: table.NewState()}
 	for i := range keepers {
 		host := fmt.Sprint("h", i)
 		snap.Hosts = append(snap.Hosts, table.HostInfo{ID: host})
 		var k *Keeper
 		cfg := Config{Host: host, Retry: 10 * time.Millisecond, RetryMost: 50 * time.Millisecond, Timeout: time.Second}
-		k = New(cfg, &log, store.NewLocal(h.store), ear{h, &k}, func() *follow.Snapshot { return snap })
+		k = New(cfg, &log, store.NewLocal(h.store), ear{h, &k}, func() *configsync.Snapshot { return snap })
 		h.all = append(h.all, k)
 		if err := k.Start(t.Context()); err != nil {
 			t.Fatal(err)
@@ -68,7 +68,7 @@
 // rows reads what the store holds.
 func (h *hall) rows(t *testing.T) []platform.Record {
 	t.Helper()
-	recs, err := store.NewLocal(h.store).Scan(t.Context(), fatal.Prefix, "", 100)
+	recs, err := store.NewLocal(h.store).Scan(t.Context(), poison.Prefix, "", 100)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,7 +80,7 @@
 	t.Helper()
 	d := table.Delta{Plane: table.PlaneFatal, Full: true, To: uint64(time.Now().UnixNano())}
 	for _, rec := range h.rows(t) {
-		row, err := fatal.RowOf(rec)
+		row, err := poison.RowOf(rec)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -90,7 +90,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	k.Observe(&follow.Snapshot{State: state})
+	k.Observe(&configsync.Snapshot{State: state})
 }
 
 // eventually waits until good comes true.
@@ -111,23 +111,23 @@
 		if len(recs) != 1 {
 			return false
 		}
-		f, err := fatal.Decode(recs[0])
+		f, err := poison.Decode(recs[0])
 		return err == nil && len(f.Ends.List()) == want
 	})
 }
 
-var deadly = fatal.ContentOf("", "GET", "", "/deadly", nil)
+var deadly = poison.ContentOf("", "GET", "", "/deadly", nil)
 
 // TestEndsAddUp has the endpoints beside three nodes end under one content, two of them at the same moment: each node knows of all by
 // word, the store keeps all, and a node that starts anew knows it from there.
 func TestEndsAddUp(t *testing.T) {
 	h := newHall(t, 4)
-	h.all[0].EndedHere("e0", "docket-desk", []fatal.Content{deadly})
+	h.all[0].EndedHere("e0", "docket-desk", []poison.Content{deadly})
 	for _, k := range h.all {
 		eventually(t, "word of one end", func() bool { return k.Ends(deadly) == 1 })
 	}
-	go h.all[1].EndedHere("e1", "docket-desk", []fatal.Content{deadly})
-	h.all[2].EndedHere("e2", "docket-desk", []fatal.Content{deadly})
+	go h.all[1].EndedHere("e1", "docket-desk", []poison.Content{deadly})
+	h.all[2].EndedHere("e2", "docket-desk", []poison.Content{deadly})
 	for _, k := range h.all {
 		eventually(t, "word of three ends", func() bool { return k.Barred(deadly) })
 	}
@@ -145,7 +145,7 @@
 func TestWordsEnd(t *testing.T) {
 	h := newHall(t, 5)
 	for i := range 40 {
-		h.all[i%5].EndedHere(fmt.Sprint("e", i), "docket-desk", []fatal.Content{deadly})
+		h.all[i%5].EndedHere(fmt.Sprint("e", i), "docket-desk", []poison.Content{deadly})
 	}
 	eventually(t, "barred everywhere", func() bool {
 		for _, k := range h.all {
@@ -178,7 +178,7 @@
 func TestPlatformAway(t *testing.T) {
 	h := newHall(t, 2)
 	h.store.SetFaults(store.Faults{Down: true})
-	h.all[0].EndedHere("e0", "docket-desk", []fatal.Content{deadly})
+	h.all[0].EndedHere("e0", "docket-desk", []poison.Content{deadly})
 	eventually(t, "word", func() bool { return h.all[1].Ends(deadly) == 1 })
 	h.store.SetFaults(store.Faults{LoseReplies: 2})
 	h.endsIn(t, 1)
@@ -188,7 +188,7 @@
 func TestWriterIsGone(t *testing.T) {
 	h := newHall(t, 3)
 	h.store.SetFaults(store.Faults{Down: true})
-	h.all[0].EndedHere("e0", "docket-desk", []fatal.Content{deadly})
+	h.all[0].EndedHere("e0", "docket-desk", []poison.Content{deadly})
 	eventually(t, "word", func() bool { return h.all[1].Ends(deadly) == 1 && h.all[2].Ends(deadly) == 1 })
 	if err := h.all[0].Stop(t.Context()); err != nil {
 		t.Fatal(err)
@@ -201,7 +201,7 @@
 // before: neither is held against it, nowhere.
 func TestWhatRanWellIsCleared(t *testing.T) {
 	h := newHall(t, 3)
-	h.all[0].EndedHere("e0", "docket-desk", []fatal.Content{deadly})
+	h.all[0].EndedHere("e0", "docket-desk", []poison.Content{deadly})
 	h.endsIn(t, 1)
 	for _, k := range h.all {
 		h.show(t, k)
@@ -212,10 +212,10 @@
 	}
 	eventually(t, "row taken out", func() bool { return len(h.rows(t)) == 0 })
 
-	popular := fatal.ContentOf("", "GET", "", "/popular", nil)
+	popular := poison.ContentOf("", "GET", "", "/popular", nil)
 	h.all[2].Ran(popular)
 	for i := range 3 {
-		h.all[i%2].EndedHere(fmt.Sprint("e", i), "docket-desk", []fatal.Content{popular})
+		h.all[i%2].EndedHere(fmt.Sprint("e", i), "docket-desk", []poison.Content{popular})
 	}
 	for _, k := range h.all {
 		eventually(t, "cleared by who saw it run", func() bool { return k.Ends(popular) == 0 })
@@ -236,7 +236,7 @@
 	}
 	h.endsIn(t, 3)
 	h.show(t, k)
-	key := fatal.KeyOf(deadly)
+	key := poison.KeyOf(deadly)
 	if _, err := store.NewLocal(h.store).Commit(t.Context(), platform.Txn{Writes: []platform.Write{{Key: key, Delete: true}}}); err != nil {
 		t.Fatal(err)
 	}
@@ -250,7 +250,7 @@
 	if got, want := k.Ends(deadly), 0; got != want {
 		t.Errorf("ends after late words: got %d, want %d", got, want)
 	}
-	k.EndedHere("e9", "docket-desk", []fatal.Content{deadly})
+	k.EndedHere("e9", "docket-desk", []poison.Content{deadly})
 	if got, want := k.Ends(deadly), 1; got != want {
 		t.Errorf("ends after a new one: got %d, want %d", got, want)
 	}
--- a/barring/write.go
+++ b/quarantine/write.go
@@ -1,4 +1,4 @@
-package barring
+package quarantine
 
 import (
 	"context"
@@ -8,9 +8,9 @@
 	"github.com/cespare/xxhash/v2"
 
 	"github.com/lynxplank/lynxplank/events"
-	"github.com/lynxplank/lynxplank/fatal"
 	"github.com/lynxplank/lynxplank/fault"
 	"github.com/lynxplank/lynxplank/platform"
+	"github.com/lynxplank/lynxplank/poison"
 	"github.com/lynxplank/lynxplank/retry"
 	"github.com/lynxplank/lynxplank/table"
 )
@@ -60,10 +60,10 @@
 		return
 	}
 	k.known.forget(now)
-	maps.DeleteFunc(k.own, func(c fatal.Content, _ bool) bool { return k.known.word[c].Ends == "" })
-	maps.DeleteFunc(k.clear, func(_ fatal.Content, at time.Time) bool { return now.Sub(at) > ranWithin })
+	maps.DeleteFunc(k.own, func(c poison.Content, _ bool) bool { return k.known.word[c].Ends == "" })
+	maps.DeleteFunc(k.clear, func(_ poison.Content, at time.Time) bool { return now.Sub(at) > ranWithin })
 	for c, row := range k.known.rows {
-		if fatal.Forgotten(row.Value, now) && k.rank(c, hosts) == 0 {
+		if poison.Forgotten(row.Value, now) && k.rank(c, hosts) == 0 {
 			k.clear[c] = now
 		}
 	}
@@ -77,7 +77,7 @@
 
 // rank is this node's place among those that tend a content's row, 0 for the first: whatever the size of the fleet few nodes write, one
 // after the other, and two views of who is first cost a write.
-func (k *Keeper) rank(c fatal.Content, hosts []table.HostInfo) int {
+func (k *Keeper) rank(c poison.Content, hosts []table.HostInfo) int {
 	place := func(host string) uint64 { return xxhash.Sum64String(host + "\x00" + string(c[:])) }
 	own, before := place(k.cfg.Host), 0
 	for _, h := range hosts {
@@ -90,7 +90,7 @@
 
 // edit is one row as it should be.
 type edit struct {
-	content fatal.Content
+	content poison.Content
 	// value is what is known of it, gone is set to take it out.
 	value table.Fatal
 	gone  bool
@@ -139,7 +139,7 @@
 			return err
 		}
 	}
-	return fault.New(fault.Conflict, fatal.Prefix, "rows were written by others again and again")
+	return fault.New(fault.Conflict, poison.Prefix, "rows were written by others again and again")
 }
 
 func (k *Keeper) commit(ctx context.Context, edits []edit) (platform.TxnReply, error) {
@@ -147,11 +147,11 @@
 	defer cancel()
 	var txn platform.Txn
 	for _, e := range edits {
-		key := fatal.KeyOf(e.content)
+		key := poison.KeyOf(e.content)
 		txn.Checks = append(txn.Checks, platform.Check{Key: key, Version: e.version})
 		w := platform.Write{Key: key, Delete: e.gone}
 		if !e.gone {
-			value, err := fatal.Encode(e.value)
+			value, err := poison.Encode(e.value)
 			if err != nil {
 				return platform.TxnReply{}, err
 			}
@@ -167,7 +167,7 @@
 func merged(edits []edit, refused platform.TxnReply) ([]edit, error) {
 	var out []edit
 	for _, e := range edits {
-		found := refused.FoundAt(fatal.KeyOf(e.content))
+		found := refused.FoundAt(poison.KeyOf(e.content))
 		if found.Version == e.version {
 			out = append(out, e)
 			continue
@@ -176,11 +176,11 @@
 			continue
 		}
 		if found.Version != 0 {
-			held, err := fatal.Decode(found)
+			held, err := poison.Decode(found)
 			if err != nil {
 				return nil, err
 			}
-			e.value = fatal.WithEnds(held, e.value.Service, e.value.Ends.List(), e.value.At.Time())
+			e.value = poison.WithEnds(held, e.value.Service, e.value.Ends.List(), e.value.At.Time())
 			if e.value == held {
 				continue
 			}
--- a/allowance/allowance.go
+++ b/ratelimit/allowance.go
@@ -1,4 +1,4 @@
-package allowance
+package ratelimit
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"github.com/rs/zerolog"
 
 	"github.com/lynxplank/lynxplank/clock"
-	"github.com/lynxplank/lynxplank/follow"
+	"github.com/lynxplank/lynxplank/configsync"
 	"github.com/lynxplank/lynxplank/metrics"
 	"github.com/lynxplank/lynxplank/peer"
 	"github.com/lynxplank/lynxplank/quota"
@@ -61,7 +61,7 @@
 type Allowance struct {
 	cfg      Config
 	log      *zerolog.Logger
-	snapshot func() *follow.Snapshot
+	snapshot func() *configsync.Snapshot
 	links    Links
 	metrics  *metrics.Metrics
 	// now counts the time in which the host is suspended: a loan ends at its home meanwhile, which lends it again. By
@@ -85,7 +85,7 @@
 
 // New returns the allowance of a node that starts.
 func New(
-	cfg Config, log *zerolog.Logger, snapshot func() *follow.Snapshot, links Links, m *metrics.Metrics, opts ...Option,
+	cfg Config, log *zerolog.Logger, snapshot func() *configsync.Snapshot, links Links, m *metrics.Metrics, opts ...Option,
 ) *Allowance {
 	a := &Allowance{
 		cfg: cfg, log: log, snapshot: snapshot, links: links, metrics: m, now: clock.Boot, borrower: quota.NewBorrower(quota.DefaultTerms()),
@@ -100,7 +100,7 @@
 
 // Observe takes a new snapshot in force. Before the node is ready its list shows little more than itself: with that it would take
 // itself for the home of all customers, and then wait for the list to settle with which it has started.
-func (a *Allowance) Observe(snap *follow.Snapshot) {
+func (a *Allowance) Observe(snap *configsync.Snapshot) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.now()
--- a/allowance/allowance_test.go
+++ b/ratelimit/allowance_test.go
@@ -1,4 +1,4 @@
-package allowance
+package ratelimit
 
 import (
 	"context"
@@ -8,8 +8,8 @@
 
 	"github.com/rs/zerolog"
 
+	"github.com/lynxplank/lynxplank/configsync"
 	"github.com/lynxplank/lynxplank/fault"
-	"github.com/lynxplank/lynxplank/follow"
 	"github.com/lynxplank/lynxplank/metrics"
 	"github.com/lynxplank/lynxplank/peer"
 	"github.com/lynxplank/lynxplank/table"
@@ -42,11 +42,11 @@
 		t.Fatal(err)
 	}
 	log := zerolog.Nop()
-	snap := &follow.Snapshot{State: state}
+	snap := &configsync.Snapshot{State: state}
 	cfg := Config{Host: "h0", Hall: "hall-0", Policy: policy, Settle: time.Hour, Window: time.Minute, Spare: 6}
-	a = New(cfg, &log, func() *follow.Snapshot { return snap }, noLinks{}, m)
+	a = New(cfg, &log, func() *configsync.Snapshot { return snap }, noLinks{}, m)
 	return a, func(hosts int, ready bool) {
-		next := &follow.Snapshot{State: state, Ready: ready, ByID: make(map[string]table.HostInfo)}
+		next := &configsync.Snapshot{State: state, Ready: ready, ByID: make(map[string]table.HostInfo)}
 		for i := range hosts {
 			h := table.HostInfo{ID: fmt.Sprint("h", i), Hall: fmt.Sprint("hall-", min(i, 1)), Address: "127.0.0.1:1"}
 			next.Hosts, next.ByID[h.ID] = append(next.Hosts, h), h
--- a/allowance/doc.go
+++ b/ratelimit/doc.go
@@ -1,3 +1,3 @@
-// Package allowance keeps customers to their limits at one node: it borrows from the homes of a customer's limit what requests need,
+// Package ratelimit keeps customers to their limits at one node: it borrows from the homes of a customer's limit what requests need,
 // and lends where this node is a home.
-package allowance
+package ratelimit
--- a/allowance/report.go
+++ b/ratelimit/report.go
@@ -1,4 +1,4 @@
-package allowance
+package ratelimit
 
 import (
 	"cmp"
--- a/sheets/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package sheets reads and writes rows as CSV and YAML, as operators keep them in spreadsheets and version control.
-package sheets
--- a/leftout/list_test.go
+++ b/skipped/list_test.go
@@ -1,4 +1,4 @@
-package leftout
+package skipped
 
 import (
 	"bytes"
--- a/sheets/csv.go
+++ b/tablefile/csv.go
@@ -1,4 +1,4 @@
-package sheets
+package tablefile
 
 import (
 	"encoding/csv"
--- a/seeded/seeded.go
+++ b/testseed/seeded.go
@@ -1,4 +1,4 @@
-package seeded
+package testseed
 
 import (
 	"flag"
--- a/virtual/sends.go
+++ b/virtual/sends.go
@@ -5,13 +5,13 @@
 	"strconv"
 	"time"
 
-	"github.com/lynxplank/lynxplank/admit"
+	"github.com/lynxplank/lynxplank/admission"
 	"github.com/lynxplank/lynxplank/gen/peerpb"
 	"github.com/lynxplank/lynxplank/retry"
 )
 
 type endpoint struct {
-	queue    *admit.Queue
+	queue    *admission.Queue
 	running  map[uint64]*send
 	waiting  map[uint64]*send
 	plain    []*send
@@ -58,7 +58,7 @@
 	e := r.endpoints[s.endpoint]
 	if r.FairQueue {
 		name := strconv.Itoa(s.request.customer)
-		d, evicted := e.queue.Offer(r.clock.now, admit.Request{ID: s.id, Customer: name, Deadline: s.request.arrived.Add(deadline)})
+		d, evicted := e.queue.Offer(r.clock.now, admission.Request{ID: s.id, Customer: name, Deadline: s.request.arrived.Add(deadline)})
 		e.waiting[s.id] = s
 		r.decide(e, append(evicted, d))
 		return
@@ -73,17 +73,17 @@
 	}
 }
 
-func (r *run) decide(e *endpoint, list []admit.Decision) {
+func (r *run) decide(e *endpoint, list []admission.Decision) {
 	for _, d := range list {
 		s := e.waiting[d.ID]
 		switch d.Action {
-		case admit.Run:
+		case admission.Run:
 			delete(e.waiting, d.ID)
 			r.begin(s)
-		case admit.Refuse:
+		case admission.Refuse:
 			delete(e.waiting, d.ID)
 			r.refused(s)
-		case admit.Wait:
+		case admission.Wait:
 			r.clock.after(d.Until.Sub(r.clock.now), func() { r.decide(e, e.queue.Expire(r.clock.now)) })
 		}
 	}
--- a/virtual/stream.go
+++ b/virtual/stream.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 	"time"
 
-	"github.com/lynxplank/lynxplank/admit"
+	"github.com/lynxplank/lynxplank/admission"
 	"github.com/lynxplank/lynxplank/retry"
 )
 
@@ -105,7 +105,7 @@
 	r.result.Detected = -1
 	for i := range s.Service.Endpoints {
 		r.endpoints = append(r.endpoints, &endpoint{
-			queue:   admit.NewQueue(s.Service.Slots, fairQueue, rand.New(rand.NewPCG(s.Seed, uint64(i)+3))), //nolint:gosec // seeded on purpose
+			queue:   admission.NewQueue(s.Service.Slots, fairQueue, rand.New(rand.NewPCG(s.Seed, uint64(i)+3))), //nolint:gosec // seeded on purpose
 			running: make(map[uint64]*send), waiting: make(map[uint64]*send),
 		})
 		r.pause(i)
