--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -65,7 +65,7 @@
 	sent atomic.Uint64
 	// confirm asks the platform whether this node's configuration is the newest.
 	confirm func(ctx context.Context) bool
-	fatal   Fatal
+	fatal   CrashCounter
 	clock   clock.Clock
 	// budget is what this node may hold of answers.
 	budget   *memory.Budget
@@ -94,7 +94,7 @@
 func WithLimits(l Limits) Option { return func(g *Ingress) { g.limits = l } }
 
 // Fatal tells what is known of requests under which endpoints ended.
-type Fatal interface {
+type CrashCounter interface {
 	// Ends returns how many endpoints ended under a content.
 	Ends(c poison.Content) int
 }
@@ -106,7 +106,7 @@
 func (harmless) Ends(poison.Content) int { return 0 }
 
 // WithFatal has requests that end endpoints refused.
-func WithFatal(f Fatal) Option { return func(g *Ingress) { g.fatal = f } }
+func WithCrashCounter(f CrashCounter) Option { return func(g *Ingress) { g.fatal = f } }
 
 // WithClock replaces the clock that counts the time in which the host is suspended.
 func WithClock(c clock.Clock) Option { return func(g *Ingress) { g.clock = c } }
@@ -121,7 +121,9 @@
 type Option func(*Ingress)
 
 // WithConfirm has an unknown route told as such only after f has said that the configuration in force is the newest.
-func WithConfirm(f func(ctx context.Context) bool) Option { return func(g *Ingress) { g.confirm = f } }
+func WithNewestConfigCheck(f func(ctx context.Context) bool) Option {
+	return func(g *Ingress) { g.confirm = f }
+}
 
 // New returns an ingress.
 func New(
@@ -151,7 +153,7 @@
 }
 
 // Payer returns the customer of a request by what its header says, "" for none that is known.
-func (g *Ingress) Payer(h http.Header) string {
+func (g *Ingress) CustomerOf(h http.Header) string {
 	s := g.snapshot().State
 	if !s.KeysWanted() {
 		say, _ := g.cfg.Contract.Call(h)
--- a/node/node.go
+++ b/node/node.go
@@ -171,8 +171,8 @@
 	}, n.log, follower.State, view.leaving, view.usable)
 	e = egress.New(n.egressConfig(incarnation), n.log, follower.State, egressOptions...)
 	links.Handle(handler{Egress: e, follower: follower, limits: limits, keeper: keeper})
-	g := ingress.New(n.ingressConfig(incarnation), n.log, follower.Snapshot, d, links, e, m, ingress.WithConfirm(follower.Confirm),
-		ingress.WithLimits(limits), ingress.WithFatal(keeper), ingress.WithBudget(n.budget))
+	g := ingress.New(n.ingressConfig(incarnation), n.log, follower.Snapshot, d, links, e, m, ingress.WithNewestConfigCheck(follower.Confirm),
+		ingress.WithLimits(limits), ingress.WithCrashCounter(keeper), ingress.WithBudget(n.budget))
 	n.kernel.Register(Announcer, a)
 	n.kernel.Register(Keeper, keeper)
 	n.kernel.Register(Reaper, announce.NewReaper(n.cfg.Node.ID, n.cfg.Peers.GoneAfter.Std(), n.cfg.Platform.Timeout.Std(),
@@ -207,7 +207,7 @@
 	n.kernel.Register(Ingress, g)
 	callers := pipeline.New(Callers, n.cfg.Callers.Listen.String(), n.callerLimits(f.State), g,
 		ingress.RefuseUnread(n.contract()))
-	callers.HoldBodies(func(h http.Header) *memory.Hold { return n.budget.Hold(g.Payer(h)) })
+	callers.HoldBodies(func(h http.Header) *memory.Hold { return n.budget.Hold(g.CustomerOf(h)) })
 	callers.OnPanic(func(value any, stack []byte) {
 		events.HandlerPanicked.Log(n.log).Any("value", value).Bytes("stack", stack).Send()
 	})
