--- a/ingress/answer.go
+++ b/ingress/answer.go
@@ -13,68 +13,71 @@
 	"github.com/lynxplank/lynxplank/memory"
 )
 
-// heldBody is the largest body that is held until the answer is whole, in bytes: one that breaks off before it was passed
-// on can still be asked for elsewhere, or told as what it is.
-const heldBody = 256 << 10
+// maxHeldBody is the largest body, in bytes, that is held back until the answer is complete. A held answer that breaks
+// off can still be fetched again or reported with its true outcome.
+const maxHeldBody = 256 << 10
 
-// answer passes one endpoint's answer to the caller. A short answer is held until it is whole, and a failed one as long
-// as another endpoint may do better.
+// answer is the sink of one send: it passes the endpoint's answer to the caller. A short answer is held until it is
+// complete, and a failed one for as long as another endpoint may give a better answer.
 //
-// Invariant: bytes of at most one exchange reach the caller.
+// Invariant: the caller receives bytes of at most one send.
 type answer struct {
 	w    http.ResponseWriter
 	call call
-	// say is how callers are spoken to.
-	say contract.Contract
-	// mayHold is set when a failed answer may give way to another endpoint's, keep when the key's home wants the answer.
-	mayHold bool
-	keep    bool
-	// started is set once the head has gone to the caller, chunked when that states no length.
+	// contract encodes outcomes for the caller.
+	contract contract.Contract
+	// mayReplace is set when a failed answer may be replaced by another endpoint's, recordBody when the key's owner
+	// stores the answer.
+	mayReplace bool
+	recordBody bool
+	// started is set once the head was written to the caller, chunked if that head has no Content-Length.
 	started bool
 	chunked bool
-	// held is the head, and body the bytes, that have not gone to the caller yet; nil for none.
+	// held and body are the head and body that were received but not yet written to the caller; held is nil if there
+	// are none.
 	held *peerpb.Head
 	body []byte
-	// head is the latest endpoint's head, kept as much of its body as is recorded for the key's home.
-	head *peerpb.Head
-	kept []byte
-	// hold is what the held bytes hold of the node's budget.
-	hold *memory.Hold
-	// size is how many bytes of the body have come.
-	size int
-	late lateWatch
-	due  *dueWatch
-	// winner decides which of several sends speaks to the caller.
+	// head is the head of the latest answer, recordedBody the part of its body that is recorded for the key's owner.
+	head         *peerpb.Head
+	recordedBody []byte
+	// memoryHold counts the held bytes against the node's memory budget.
+	memoryHold *memory.Hold
+	// bodySize is the number of body bytes received so far.
+	bodySize int
+	late     lateNotifier
+	due      *dueTimer
+	// winner selects the send whose answer goes to the caller.
 	winner *winner
-	// progress is the request's, endpoint the one that is asked, handed is set while it may be working on this send.
-	progress *progress
-	endpoint string
-	handed   bool
+	// progress belongs to the request. endpoint is the endpoint this send goes to; dispatched is set while that
+	// endpoint may be working on it.
+	progress   *progress
+	endpoint   string
+	dispatched bool
 }
 
-func newAnswer(w http.ResponseWriter, c call, say contract.Contract, s *winner) *answer {
-	return &answer{w: w, call: c, say: say, mayHold: c.repeatable, keep: c.claims(), due: newDueWatch(), winner: s, progress: new(progress)}
+func newAnswer(w http.ResponseWriter, c call, ct contract.Contract, win *winner) *answer {
+	return &answer{w: w, call: c, contract: ct, mayReplace: c.repeatable, recordBody: c.needsClaim(), due: newDueTimer(), winner: win, progress: new(progress)}
 }
 
 // HandOver implements peer.HandOver.
 func (a *answer) HandOver() bool {
-	a.handed = a.progress.handOver(a)
-	return a.handed
+	a.dispatched = a.progress.beginDispatch(a)
+	return a.dispatched
 }
 
-// returned notes that the send has ended.
-func (a *answer) returned() {
-	if a.handed {
-		a.handed = false
-		a.progress.returned()
+// sendEnded reports to progress that the send has ended, if it was dispatched.
+func (a *answer) sendEnded() {
+	if a.dispatched {
+		a.dispatched = false
+		a.progress.endDispatch()
 	}
 }
 
-// reset forgets a held answer before the next exchange.
+// reset discards a held answer before the next send.
 func (a *answer) reset() {
-	a.hold.Shrink(len(a.body))
+	a.memoryHold.Shrink(len(a.body))
 	a.held, a.head = nil, nil
-	a.body, a.kept = nil, nil
+	a.body, a.recordedBody = nil, nil
 }
 
 // Late implements peer.Sink.
@@ -83,39 +86,39 @@
 }
 
 // Due implements peer.Sink.
-func (a *answer) Due(in time.Duration) { a.due.in(in) }
+func (a *answer) Due(in time.Duration) { a.due.set(in) }
 
 // Head implements peer.Sink.
 func (a *answer) Head(h *peerpb.Head, _ bool) error {
 	a.head = h
-	if a.mayHold && h.GetStatus() >= http.StatusInternalServerError || short(h) {
+	if a.mayReplace && h.GetStatus() >= http.StatusInternalServerError || short(h) {
 		a.held = h
 		return nil
 	}
 	return a.start(h)
 }
 
-// short tells whether an answer's whole body is small enough to be held.
+// short reports whether an answer's Content-Length is small enough for the body to be held.
 func short(h *peerpb.Head) bool {
 	for _, f := range h.GetHeaders() {
 		if f.GetName() == "Content-Length" {
 			n, err := strconv.ParseInt(f.GetValue(), 10, 64)
-			return err == nil && n <= heldBody
+			return err == nil && n <= maxHeldBody
 		}
 	}
 	return false
 }
 
-// start passes the head on, Canceled when another send's answer goes to the caller.
+// start writes the head to the caller. It fails with Canceled when the answer of another send goes to the caller.
 func (a *answer) start(h *peerpb.Head) error {
 	if !a.winner.take(a) {
 		return fault.New(fault.Canceled, "answer", "another send has answered")
 	}
 	a.started = true
-	a.progress.begin()
+	a.progress.beginAnswer()
 	out := a.w.Header()
 	header.ToHTTP(h.GetHeaders(), out)
-	a.say.Outcome(out, contract.Outcome{
+	a.contract.Outcome(out, contract.Outcome{
 		ID: a.call.id, Outcome: peerpb.Outcome_OUTCOME_RAN, Replayed: h.GetReplayed(),
 	})
 	a.chunked = out.Get("Content-Length") == ""
@@ -125,15 +128,15 @@
 
 // Data implements peer.Sink.
 func (a *answer) Data(b []byte, _ bool) error {
-	a.size += len(b)
-	if a.keep && len(a.kept) <= dedupe.KeptBody {
-		a.kept = append(a.kept, b...)
+	a.bodySize += len(b)
+	if a.recordBody && len(a.recordedBody) <= dedupe.KeptBody {
+		a.recordedBody = append(a.recordedBody, b...)
 	}
-	if a.held != nil && len(a.body)+len(b) <= heldBody && a.hold.Grow(len(b)) {
+	if a.held != nil && len(a.body)+len(b) <= maxHeldBody && a.memoryHold.Grow(len(b)) {
 		a.body = append(a.body, b...)
 		return nil
 	}
-	if err := a.release(); err != nil {
+	if err := a.flushHeld(); err != nil {
 		return err
 	}
 	if _, err := a.w.Write(b); err != nil {
@@ -145,8 +148,8 @@
 	return nil
 }
 
-// release passes on what was held.
-func (a *answer) release() error {
+// flushHeld writes the held head and body to the caller.
+func (a *answer) flushHeld() error {
 	if a.held == nil {
 		return nil
 	}
@@ -155,15 +158,15 @@
 	}
 	a.held = nil
 	_, err := a.w.Write(a.body)
-	a.hold.Shrink(len(a.body))
+	a.memoryHold.Shrink(len(a.body))
 	a.body = nil
 	return err
 }
 
-// finish gives the caller the final answer and returns how the request ended.
+// finish writes what remains of the final answer, or a refusal, to the caller and returns how the request ended.
 func (a *answer) finish(end *peerpb.End) *peerpb.End {
 	if a.held != nil && end.GetComplete() {
-		if a.release() != nil {
+		if a.flushHeld() != nil {
 			end.Complete = false
 		}
 		return end
@@ -174,16 +177,16 @@
 		}
 		return end
 	}
-	refuse(a.w, a.say, a.call.id, end, detailOf(end))
-	// The refusal is a whole answer of its own.
+	refuse(a.w, a.contract, a.call.id, end, detailOf(end))
+	// The refusal itself is a complete answer.
 	end.Complete = true
 	return end
 }
 
-// record returns the answer for the key's home.
+// record returns the answer to store at the key's owner, nil if it is incomplete or too long.
 func (a *answer) record(end *peerpb.End) (*peerpb.Head, []byte) {
-	if !end.GetComplete() || len(a.kept) > dedupe.KeptBody {
+	if !end.GetComplete() || len(a.recordedBody) > dedupe.KeptBody {
 		return nil, nil
 	}
-	return a.head, a.kept
+	return a.head, a.recordedBody
 }
--- a/ingress/arrivals_test.go
+++ b/ingress/arrivals_test.go
@@ -19,32 +19,34 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// The incident: a service had more further sends than it allows. What the endpoints count and what asks the budget were two
-// lists: a request that an endpoint turned away because it is another instance's had arrived there, and went on to the next
-// endpoint as if it had not. Walking every way in which a send can end showed that this one was free.
+// The scenarios guard against a service that receives more retries than its budget allows. A request that an endpoint
+// refused as belonging to another instance (moved) was counted by the endpoint as an arrival, but its next send was not
+// taken from the retry budget. The scenarios cover every way in which a send can end.
 
-// marked is the product's contract for endpoints that mark a misplaced request, and for callers that name theirs.
-type marked struct{ contract.Own }
+// misplacedContract is the product's contract for endpoints that mark misplaced requests with status 421 and requests
+// that they did not run with 503.
+type misplacedContract struct{ contract.Own }
 
 // Answer implements contract.Contract.
-func (m marked) Answer(status int, h http.Header) contract.Answer {
+func (m misplacedContract) Answer(status int, h http.Header) contract.Answer {
 	a := m.Own.Answer(status, h)
 	a.Misplaced = status == http.StatusMisdirectedRequest
 	a.NotRun = a.NotRun || a.Misplaced || status == http.StatusServiceUnavailable
 	return a
 }
 
-// mostArrivals bounds the sends of one request in these tests.
-const mostArrivals = 3
+// maxArrivals bounds the sends of one request in these tests.
+const maxArrivals = 3
 
-// behaving returns the address of an endpoint that counts arrivals; whichever endpoint is asked next takes the next word.
-func behaving(t *testing.T, words *atomic.Pointer[[]string], arrivals *atomic.Int64) string {
+// startEndpoint starts an endpoint that counts arrivals and returns its address. All endpoints share the list of
+// behaviours: each arrival takes the next one, wherever it goes.
+func startEndpoint(t *testing.T, behaviours *atomic.Pointer[[]string], arrivals *atomic.Int64) string {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		word := "answers"
-		if n := int(arrivals.Add(1)); n <= len(*words.Load()) {
-			word = (*words.Load())[n-1]
+		behaviour := "answers"
+		if n := int(arrivals.Add(1)); n <= len(*behaviours.Load()) {
+			behaviour = (*behaviours.Load())[n-1]
 		}
-		switch word {
+		switch behaviour {
 		case "moved":
 			w.WriteHeader(http.StatusMisdirectedRequest)
 		case "sheds":
@@ -63,7 +65,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// egressWith returns the egress of host h1 with retries to spare, which speaks to endpoints by a contract.
+// egressWith returns the egress of host h1 with ample retries, which speaks to endpoints by a contract.
 func egressWith(s *table.State, c contract.Contract) *egress.Egress {
 	log := zerolog.Nop()
 	return egress.New(egress.Config{
@@ -72,10 +74,10 @@
 	}, &log, func() *table.State { return s })
 }
 
-// aimed is the fleet's route with an aim, and endpoints at addresses.
-func aimed(t *testing.T, addresses []string) *table.State {
-	s := fleet(t, 0, mostArrivals)
-	route, err := table.NewRow(table.KindRoute, "all", []string{"desk.example", "/", "desk", "", "", fmt.Sprint(mostArrivals), "", "200ms"})
+// fleetWithTarget returns a fleet whose route has a latency target, with endpoints at the addresses.
+func fleetWithTarget(t *testing.T, addresses []string) *table.State {
+	s := fleet(t, 0, maxArrivals)
+	route, err := table.NewRow(table.KindRoute, "all", []string{"desk.example", "/", "desk", "", "", fmt.Sprint(maxArrivals), "", "200ms"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -94,22 +96,23 @@
 	return s
 }
 
-// TestArrivalsTakeFromTheBudget runs testdata/arrivals: each request line gives what the endpoints do with the arrivals in
-// their order; it prints the caller's status, the arrivals, and the retries taken from the endpoints' budgets.
-func TestArrivalsTakeFromTheBudget(t *testing.T) {
+// TestArrivalsConsumeRetryBudget runs testdata/arrivals. Each request line lists the behaviours of the arrivals in
+// their order. The output is the caller's status, the number of arrivals, and the retries taken from the endpoints'
+// budgets.
+func TestArrivalsConsumeRetryBudget(t *testing.T) {
 	datadriven.RunTest(t, "testdata/arrivals", func(t *testing.T, d *datadriven.TestData) string {
 		var arrivals atomic.Int64
-		var words atomic.Pointer[[]string]
-		list := strings.Fields(d.Input)
-		words.Store(&list)
+		var behaviours atomic.Pointer[[]string]
+		behaviourList := strings.Fields(d.Input)
+		behaviours.Store(&behaviourList)
 		var addresses []string
-		for range mostArrivals {
-			addresses = append(addresses, behaving(t, &words, &arrivals))
+		for range maxArrivals {
+			addresses = append(addresses, startEndpoint(t, &behaviours, &arrivals))
 		}
-		s := aimed(t, addresses)
-		e := egressWith(s, marked{})
+		s := fleetWithTarget(t, addresses)
+		e := egressWith(s, misplacedContract{})
 		status := statusOfCall(t, ingressWith(t, s, e), d.Cmd)
-		return fmt.Sprintf("%d, %d arrivals, %d taken\n", status, arrivals.Load(), further(e))
+		return fmt.Sprintf("%d, %d arrivals, %d taken\n", status, arrivals.Load(), retryArrivals(e))
 	})
 }
 
@@ -124,8 +127,8 @@
 	return w.Code
 }
 
-// further is how many further sends were handed to the endpoints.
-func further(e *egress.Egress) (n uint64) {
+// retryArrivals returns how many retries were dispatched to the endpoints.
+func retryArrivals(e *egress.Egress) (n uint64) {
 	for _, s := range e.Statuses() {
 		n += s.Arrivals.Further
 	}
--- a/ingress/call.go
+++ b/ingress/call.go
@@ -20,81 +20,82 @@
 )
 
 const (
-	// routeRanks is how many priorities of routes lie between two of customers, customerRanks how many of those there are.
+	// routeRanks is the number of route priorities within one customer priority, customerRanks the number of customer
+	// priorities.
 	routeRanks    = 1 << 10
 	customerRanks = 1 << 20
 )
 
-// call is what the caller asks for, as the contract reads it.
+// call is a caller's request, as the contract decodes it.
 type call struct {
 	id       string
 	route    route
 	service  table.ServiceView
 	customer string
-	// regions are those in which the request's data may be.
+	// regions are the regions in which the request's data may be.
 	regions region.Set
-	// token is what the caller bears of its customer's key, keyed is set where that is the customer's.
-	token      contract.Token
-	keyed      bool
-	repeatable bool
-	// further is set for a call of work that was itself sent again, ofRepeat is the chance of that where the work that made
-	// the call is not known.
-	further  bool
-	ofRepeat float64
-	timeout  time.Duration
-	// content is what the request asks for, the same whenever it comes again.
-	content  poison.Content
-	key      string
-	attempt  uint32
-	method   string
-	target   string
-	host     string
-	path     string
-	headers  []*peerpb.Header
-	revision uint64
-	config   uint64
+	// token is the customer key that the caller presented; hasCustomerKey is set when it identifies the customer.
+	token          contract.Token
+	hasCustomerKey bool
+	repeatable     bool
+	// fromRetry is set for a call made by work that was itself a retry. fromRetryChance is the probability of that
+	// where the work that made the call is not known.
+	fromRetry       bool
+	fromRetryChance float64
+	timeout         time.Duration
+	// fingerprint identifies what the request asks for; it is the same each time the request is sent.
+	fingerprint poison.Content
+	key         string
+	attempt     uint32
+	method      string
+	target      string
+	host        string
+	path        string
+	headers     []*peerpb.Header
+	revision    uint64
+	config      uint64
 }
 
-// parse reads what the caller asks for; the failure says what is wrong.
+// parse decodes a caller's request and finds its route, service and customer. The error's detail is sent to the caller.
 func (g *Ingress) parse(snap *configsync.Snapshot, r *http.Request) (call, *fault.Error) {
-	say, bad := g.cfg.Contract.Call(r.Header)
+	decoded, failure := g.cfg.Contract.Call(r.Header)
 	c := call{
-		id: say.ID, method: r.Method, target: r.RequestURI, host: r.Host, path: r.URL.EscapedPath(), customer: say.Customer, token: say.Token,
-		key: say.Key, attempt: say.Attempt, revision: snap.State.Revision(),
+		id: decoded.ID, method: r.Method, target: r.RequestURI, host: r.Host, path: r.URL.EscapedPath(), customer: decoded.Customer, token: decoded.Token,
+		key: decoded.Key, attempt: decoded.Attempt, revision: snap.State.Revision(),
 		config: snap.State.Revisions()[table.PlaneConfig],
 	}
-	if bad != nil {
-		return c, bad
+	if failure != nil {
+		return c, failure
 	}
 	if !strings.HasPrefix(c.target, "/") {
 		return c, fault.New(fault.BadRequest, "target", "want a target that starts with /")
 	}
-	if bad := g.findRoute(&c, snap.State); bad != nil {
-		return c, bad
+	if failure := g.findRoute(&c, snap.State); failure != nil {
+		return c, failure
 	}
-	if c.customer, c.keyed, bad = c.holder(snap.State); bad != nil {
-		return c, bad
+	if c.customer, c.hasCustomerKey, failure = c.findCustomer(snap.State); failure != nil {
+		return c, failure
 	}
 	c.regions = snap.State.RegionsFor(c.route.Value, c.customer)
-	c.timeout = c.route.timeout(c.service, say.Timeout)
-	c.repeatable = c.route.repeatable(r.Method, say.Repeatable)
+	c.timeout = c.route.timeout(c.service, decoded.Timeout)
+	c.repeatable = c.route.repeatable(r.Method, decoded.Repeatable)
 	g.findOrigin(&c)
 	c.headers = g.cfg.Contract.Forward(r.Header, contract.Origin{Address: clientIP(r), Keyed: snap.State.KeysWanted()})
 	return c, nil
 }
 
-// holder finds the customer whose key the caller bears, where callers must bear one; keyed is false for a route that is open to all and
-// a caller that bears no key, or none that counts, which is nobody's.
-func (c *call) holder(s *table.State) (customer string, keyed bool, bad *fault.Error) {
+// findCustomer returns the customer whose key the caller presented, if callers must present one. hasKey is false for a
+// caller of an open route that presented no valid key; such a request belongs to no customer.
+func (c *call) findCustomer(s *table.State) (customer string, hasKey bool, failure *fault.Error) {
 	if !s.KeysWanted() {
 		return c.customer, false, nil
 	}
 	if c.token.Key != "" {
-		if holder, ok := s.Holder(table.DigestKey(c.token.Key)); ok {
-			if holder.Value.Closed {
-				return holder.Key, true, fault.New(fault.Closed, "customer "+holder.Key, "the customer is closed")
+		if customer, ok := s.Holder(table.DigestKey(c.token.Key)); ok {
+			if customer.Value.Closed {
+				return customer.Key, true, fault.New(fault.Closed, "customer "+customer.Key, "the customer is closed")
 			}
-			return holder.Key, true, nil
+			return customer.Key, true, nil
 		}
 	}
 	switch {
@@ -106,27 +107,28 @@
 	return "", false, fault.New(fault.UnknownToken, "", "want a customer's key")
 }
 
-// rank is the request's place among those that wait: first by its customer, then by its route.
+// rank returns the request's priority in an endpoint's queue: by its customer first, then by its route. 0 is served
+// first.
 func (c *call) rank(s *table.State) uint32 {
 	rank := min(uint32(c.route.Value.Priority), routeRanks-1)
-	if c.keyed {
+	if c.hasCustomerKey {
 		customer, _ := s.Customer(c.customer)
 		rank += min(uint32(customer.Value.Priority), customerRanks-1) * routeRanks
 	}
 	return rank
 }
 
-// findOrigin tells a caller's request from a call of the work beside this node: by the work that the request's id names, else
-// by what was seen of its route.
+// findOrigin determines whether the request is a caller's own or a call made by the endpoint beside this node: from the
+// in-flight work that the request's id names, or from the route's arrivals if there is none.
 func (g *Ingress) findOrigin(c *call) {
 	work := g.local.Work(contract.ParentOf(c.id))
-	source := g.routes.source(c.route.Key, work.All == 0)
+	routeOrigin := g.routeStats.countArrival(c.route.Key, work.All == 0)
 	if work.Known {
-		c.further = work.OfRepeat > 0
+		c.fromRetry = work.OfRepeat > 0
 		return
 	}
-	if source == fromWork {
-		c.ofRepeat = work.OfRepeat
+	if routeOrigin == fromEndpoint {
+		c.fromRetryChance = work.OfRepeat
 	}
 }
 
@@ -138,7 +140,7 @@
 	return host
 }
 
-// matchCall returns the route that takes a call.
+// matchCall returns the route that matches a call's host and path.
 func matchCall(s *table.State, c *call) (table.Entry[table.Route], bool) {
 	host := c.host
 	if h, _, err := net.SplitHostPort(host); err == nil {
@@ -167,12 +169,12 @@
 	return nil
 }
 
-// route is the row that a request goes by.
+// route is the table row that a request is routed by.
 type route struct {
 	table.Entry[table.Route]
 }
 
-// timeout is the shorter of the caller's time and the row's, or the service's where the row has none.
+// timeout returns the route's timeout, or the service's if the route has none, limited by the caller's.
 func (r route) timeout(s table.ServiceView, caller time.Duration) time.Duration {
 	limit := time.Duration(s.Value.Timeout)
 	if t := time.Duration(r.Value.Timeout); t > 0 {
@@ -184,14 +186,14 @@
 	return limit
 }
 
-// repeatable decides whether the request may run more than once. Whoever says no wins: the caller or the row; then
-// whoever says yes; then the method.
-func (r route) repeatable(method, word string) bool {
+// repeatable reports whether the request may run more than once. A "no" from the caller or the row takes precedence,
+// then a "yes" from either, then the HTTP method.
+func (r route) repeatable(method, declared string) bool {
 	row := r.Value.Repeatable
 	switch {
-	case word == "no" || row == table.Never:
+	case declared == "no" || row == table.Never:
 		return false
-	case word == "yes" || row == table.Always:
+	case declared == "yes" || row == table.Always:
 		return true
 	}
 	return safeMethod(method)
@@ -205,37 +207,38 @@
 	return false
 }
 
-// claims tells whether the request runs under an idempotency key.
-func (c *call) claims() bool { return !c.repeatable && c.key != "" }
+// needsClaim reports whether the request runs under an idempotency key.
+func (c *call) needsClaim() bool { return !c.repeatable && c.key != "" }
 
 func (c *call) scope() string { return c.customer + "\x00" + c.service.Key }
 
-// fingerprint tells the request from another with the same key.
-func (c *call) fingerprint(body *requestBody) uint64 {
+// bodyHash distinguishes the request from another one with the same idempotency key. It covers method, target and body
+// and is the claim's fingerprint on the wire.
+func (c *call) bodyHash(body *requestBody) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(c.method + "\x00" + c.target + "\x00")
-	_, _ = d.Write(body.head)
+	_, _ = d.Write(body.data)
 	return d.Sum64()
 }
 
-// requestBody is a request's whole body.
+// requestBody is a request's complete body.
 type requestBody struct {
-	head []byte
+	data []byte
 }
 
-func (b *requestBody) reader() io.Reader { return bytes.NewReader(b.head) }
+func (b *requestBody) reader() io.Reader { return bytes.NewReader(b.data) }
 
-// takeBody takes the body, which the callers' listener has read whole.
-func takeBody(r *http.Request) (*requestBody, *fault.Error) {
+// readBody returns the request's body, which the callers' listener has usually read already.
+func readBody(r *http.Request) (*requestBody, *fault.Error) {
 	if r.Body == nil || r.ContentLength == 0 {
 		return &requestBody{}, nil
 	}
 	if whole, ok := r.Body.(interface{ Whole() []byte }); ok {
-		return &requestBody{head: whole.Whole()}, nil
+		return &requestBody{data: whole.Whole()}, nil
 	}
-	head, err := io.ReadAll(r.Body)
+	data, err := io.ReadAll(r.Body)
 	if err != nil {
 		return nil, fault.New(fault.BadRequest, "", "the body broke off")
 	}
-	return &requestBody{head: head}, nil
+	return &requestBody{data: data}, nil
 }
--- a/ingress/calls_test.go
+++ b/ingress/calls_test.go
@@ -18,31 +18,31 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// The incident: a service had more further sends than it allows, most of them calls that further work of another service made
-// anew. Nothing took them from the called service's retries: its endpoints granted all they might, and each such call came on
-// top. The figures of a day with many failing endpoints proved it: 52 of 128 further arrivals within the worst window.
+// The scenarios guard against a service that receives more retries than its budget allows because retried work of
+// another service calls it again: nothing took these calls from the called service's retries, so they came on top of
+// the full budget. On a day with many failing endpoints they were 52 of the 128 retries in the worst window.
 
-// named is the product's contract for callers that name their requests.
-type named struct{ contract.Own }
+// namingContract is the product's contract for callers that name their requests.
+type namingContract struct{ contract.Own }
 
 // Call implements contract.Contract.
-func (n named) Call(h http.Header) (contract.Call, *fault.Error) {
+func (n namingContract) Call(h http.Header) (contract.Call, *fault.Error) {
 	c, bad := n.Own.Call(h)
 	c.ID = h.Get(header.RequestID)
 	return c, bad
 }
 
-// caller is an endpoint of a service whose work calls another service, through the node beside it.
-type caller struct {
-	t     *testing.T
-	words []string
-	next  atomic.Int64
-	calls atomic.Int64
-	node  func() *Ingress
+// callingEndpoint is an endpoint whose work calls another service through the node beside it.
+type callingEndpoint struct {
+	t          *testing.T
+	behaviours []string
+	next       atomic.Int64
+	calls      atomic.Int64
+	node       func() *Ingress
 }
 
-func (c *caller) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	switch c.words[min(int(c.next.Add(1)), len(c.words))-1] {
+func (c *callingEndpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	switch c.behaviours[min(int(c.next.Add(1)), len(c.behaviours))-1] {
 	case "fails":
 		w.WriteHeader(http.StatusInternalServerError)
 	case "breaks":
@@ -54,13 +54,13 @@
 	}
 }
 
-// call makes a call of the work for a request and returns its status.
-func (c *caller) call(parent, path string) int {
-	return ask(c.t, c.node(), "hub.example", path, fmt.Sprintf("%s.%d", parent, c.calls.Add(1)))
+// call makes a call on behalf of the parent request and returns its status.
+func (c *callingEndpoint) call(parent, path string) int {
+	return serveNamed(c.t, c.node(), "hub.example", path, fmt.Sprintf("%s.%d", parent, c.calls.Add(1)))
 }
 
-// ask serves one request with a name and returns its status.
-func ask(t *testing.T, g *Ingress, host, path, name string) int {
+// serveNamed serves a request with a name and returns its status.
+func serveNamed(t *testing.T, g *Ingress, host, path, name string) int {
 	w := httptest.NewRecorder()
 	r := httptest.NewRequest(http.MethodGet, "http://"+host+path, nil)
 	r.RequestURI = path
@@ -71,7 +71,7 @@
 	return w.Code
 }
 
-// twoServices is a fleet whose endpoints of desk call hub.
+// twoServices returns a fleet with the services desk and hub; the endpoints of desk call hub.
 func twoServices(t *testing.T, desk, hub string) *table.State {
 	rows := []table.Row{}
 	for _, r := range []struct {
@@ -91,20 +91,20 @@
 		}
 		rows = append(rows, row)
 	}
-	s, err := fleet(t, 0, mostArrivals).With(table.Delta{From: 1, To: 2, Rows: rows})
+	s, err := fleet(t, 0, maxArrivals).With(table.Delta{From: 1, To: 2, Rows: rows})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return s
 }
 
-// TestCallsOfFurtherWorkAreFurtherSends runs testdata/calls: each request line gives what the endpoints do with the sends of
-// a request in their order; it prints the caller's status and what was handed to the endpoint that their work calls.
-func TestCallsOfFurtherWorkAreFurtherSends(t *testing.T) {
+// TestCallsOfRetriesCountAsRetries runs testdata/calls. Each request line lists what the endpoints do with the sends of
+// a request in their order. The output is the caller's status and the sends dispatched to the endpoint that they call.
+func TestCallsOfRetriesCountAsRetries(t *testing.T) {
 	datadriven.RunTest(t, "testdata/calls", func(t *testing.T, d *datadriven.TestData) string {
 		var g *Ingress
-		desk := &caller{t: t, words: strings.Fields(d.Input), node: func() *Ingress { return g }}
-		hub := &caller{t: t, words: []string{"answers"}, node: func() *Ingress { return g }}
+		desk := &callingEndpoint{t: t, behaviours: strings.Fields(d.Input), node: func() *Ingress { return g }}
+		hub := &callingEndpoint{t: t, behaviours: []string{"answers"}, node: func() *Ingress { return g }}
 		deep := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path == "/deep" {
 				w.WriteHeader(hub.call(r.Header.Get(header.RequestID), "/plain"))
@@ -117,16 +117,16 @@
 			addresses = append(addresses, strings.TrimPrefix(server.URL, "http://"))
 		}
 		s := twoServices(t, addresses[0], addresses[1])
-		e := egressWith(s, named{})
+		e := egressWith(s, namingContract{})
 		g = ingressWith(t, s, e)
-		g.cfg.Contract = named{}
-		status := ask(t, g, "desk.example", "/x", "r")
-		first, further := uint64(0), uint64(0)
+		g.cfg.Contract = namingContract{}
+		status := serveNamed(t, g, "desk.example", "/x", "r")
+		first, retries := uint64(0), uint64(0)
 		for _, st := range e.Statuses() {
 			if st.Endpoint == "b0" {
-				first, further = first+st.Arrivals.First, further+st.Arrivals.Further
+				first, retries = first+st.Arrivals.First, retries+st.Arrivals.Further
 			}
 		}
-		return fmt.Sprintf("%d, hub: %d first, %d further\n", status, first, further)
+		return fmt.Sprintf("%d, hub: %d first, %d further\n", status, first, retries)
 	})
 }
--- a/ingress/deliver.go
+++ b/ingress/deliver.go
@@ -12,52 +12,55 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// deliver brings a dispatch to the egress beside the endpoint, or to the endpoint that stands there in its place: one that was
-// started anew is known to its node at once, and to everybody else only by way of the store. When a fleet of hundreds has lost
-// power, that is most of what is asked in the first seconds.
+// deliver sends a dispatch to the egress beside the endpoint. If another endpoint has taken that endpoint's place, the
+// dispatch is sent on to the new one: a restarted endpoint is known to its own node at once, but to all others only
+// through the platform's store. After a power loss of a fleet of hundreds, that is the case for most requests of the
+// first seconds.
 func (x *exchange) deliver(
 	ctx context.Context, e table.Entry[table.Endpoint], d *peerpb.Dispatch, sink *answer,
 ) *peerpb.End {
 	sink.endpoint = e.Key
-	defer sink.returned()
+	defer sink.sendEnded()
 	end := x.deliverTo(ctx, e, d, sink)
-	if next := x.inPlace(d, end); next != nil {
+	if next := x.redirect(d, end); next != nil {
 		return x.deliverTo(ctx, e, next, sink)
 	}
 	return end
 }
 
-// inPlace returns the dispatch for the endpoint that a refusal names in place of the one that was asked for; nil if it names none.
-// What runs under a key stays with the key's home.
-func (x *exchange) inPlace(d *peerpb.Dispatch, end *peerpb.End) *peerpb.Dispatch {
+// redirect returns the dispatch for the endpoint that a refusal names in place of the requested one, nil if it names
+// none. Requests under a key are not redirected: they stay with the key's owner.
+func (x *exchange) redirect(d *peerpb.Dispatch, end *peerpb.End) *peerpb.Dispatch {
 	if end.GetStands() == "" || end.GetStands() == d.GetEndpoint() || d.GetClaim() != nil ||
 		end.GetOutcome() != peerpb.Outcome_OUTCOME_NOT_RUN {
 		return nil
 	}
 	next, _ := proto.Clone(d).(*peerpb.Dispatch)
 	next.Endpoint = end.GetStands()
-	next.Exchange = x.g.cfg.Incarnation + x.g.sent.Add(1)
+	next.Exchange = x.g.cfg.Incarnation + x.g.exchangeCount.Add(1)
 	return next
 }
 
-// deliverTo brings a dispatch to the egress of an endpoint's host: a function call here, a link elsewhere.
+// deliverTo sends a dispatch to the egress of an endpoint's host and registers the send with the request's progress, so
+// that a planned stop can cancel it.
 func (x *exchange) deliverTo(
 	ctx context.Context, e table.Entry[table.Endpoint], d *peerpb.Dispatch, sink *answer,
 ) *peerpb.End {
-	sink.returned()
-	ctx, done := x.progress.wait(ctx, sink)
+	sink.sendEnded()
+	ctx, done := x.progress.untilDispatch(ctx, sink)
 	defer done()
 	if d.GetClaim() != nil {
-		// What an endpoint has under a key runs on without its caller, who can ask for its answer by the key.
-		asking, unasked := x.progress.ask(ctx, sink)
-		defer unasked()
-		ctx = asking
+		// A request under a key goes on at its endpoint without the caller, who can ask for the answer by the key.
+		recoverable, doneRecovering := x.progress.whileRecoverable(ctx, sink)
+		defer doneRecovering()
+		ctx = recoverable
 	}
-	return x.stopped(x.bring(ctx, e, d, sink))
+	return x.asStopping(x.dispatchTo(ctx, e, d, sink))
 }
 
-// stopped tells of a send that was given up because the node stops that another node takes it at once.
-func (x *exchange) stopped(end *peerpb.End) *peerpb.End {
+// asStopping changes the end of a send that was abandoned because this node stops, so that the caller retries at
+// another node at once.
+func (x *exchange) asStopping(end *peerpb.End) *peerpb.End {
 	code := fault.Code(end.GetCode())
 	if code != fault.Stopping && (code != fault.Canceled || !x.progress.isClosed()) {
 		return end
@@ -69,8 +72,9 @@
 	return end
 }
 
-// bring hands a dispatch to the egress of an endpoint's host, and asks again for an answer whose link broke.
-func (x *exchange) bring(ctx context.Context, e table.Entry[table.Endpoint], d *peerpb.Dispatch, sink *answer) *peerpb.End {
+// dispatchTo sends a dispatch to the egress of an endpoint's host, by a function call on this host and over a link
+// otherwise. If the link breaks, it asks for the answer again.
+func (x *exchange) dispatchTo(ctx context.Context, e table.Entry[table.Endpoint], d *peerpb.Dispatch, sink *answer) *peerpb.End {
 	if e.Value.Host == x.g.cfg.Host {
 		return x.g.local.Serve(ctx, d, x.body.reader(), sink)
 	}
@@ -83,19 +87,20 @@
 		return peer.NotRun(fault.LinkDown, 0)
 	}
 	end := s.Exchange(ctx, d, x.body.reader(), sink)
-	if lost(end) && d.GetExchange() != 0 && !x.call.repeatable {
+	if linkLost(end) && d.GetExchange() != 0 && !x.call.repeatable {
 		return x.recover(ctx, host, d.GetExchange(), end)
 	}
 	return end
 }
 
-// linkLimit is how long a request waits for a link that is not up: a few round trips between regions. The link is opened
-// all the same; a host without power would hold the request for the whole time of a connection.
-const linkLimit = 100 * time.Millisecond
+// linkTimeout is how long a request waits for a link that is not up: a few round trips between regions. The link goes
+// on being opened after that; without this limit, a host without power would delay the request by a whole connection
+// timeout.
+const linkTimeout = 100 * time.Millisecond
 
-// session returns a link to a node, an error when none stands within linkLimit.
+// session returns a link to a node, or an error if there is none within linkTimeout.
 func (x *exchange) session(ctx context.Context, address string) (*peer.Session, error) {
-	ctx, cancel := context.WithTimeout(ctx, linkLimit)
+	ctx, cancel := context.WithTimeout(ctx, linkTimeout)
 	defer cancel()
 	return x.g.links.Session(ctx, address)
 }
--- a/ingress/doc.go
+++ b/ingress/doc.go
@@ -1,3 +1,4 @@
-// Package ingress takes callers' requests: it finds the route and service, has an endpoint chosen, owns the deadline,
-// the retries and the answer, and tells the caller what happened: ran, not run or unknown.
+// Package ingress handles callers' requests. For each request it finds the route and the service, has the director pick
+// an endpoint, enforces the deadline, decides on retries, passes the answer on and reports the outcome: ran, not run or
+// unknown.
 package ingress
--- a/ingress/due.go
+++ b/ingress/due.go
@@ -5,50 +5,51 @@
 	"time"
 )
 
-// dueWatch tells once when the answer to a send is due and missing. The words come from a link or a timer, at any moment.
-type dueWatch struct {
+// dueTimer signals that the answer to a send is due but has not arrived. It may be set and signaled at any time, by
+// messages from a link or by its timer.
+type dueTimer struct {
 	mu    sync.Mutex
 	timer *time.Timer
 	ended bool
 	due   chan struct{}
 }
 
-func newDueWatch() *dueWatch { return &dueWatch{due: make(chan struct{}, 1)} }
+func newDueTimer() *dueTimer { return &dueTimer{due: make(chan struct{}, 1)} }
 
-// in sets when the answer is due from now on; 0 is now. A later word takes the place of an earlier one.
-func (w *dueWatch) in(d time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.ended {
+// set makes the answer due after d, at once if d is 0. It replaces an earlier due time.
+func (t *dueTimer) set(d time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.ended {
 		return
 	}
-	w.stop()
+	t.stop()
 	if d <= 0 {
-		w.tell()
+		t.signal()
 		return
 	}
-	w.timer = time.AfterFunc(d, w.tell)
+	t.timer = time.AfterFunc(d, t.signal)
 }
 
-// tell puts the word where it is waited for; a second one says nothing new.
-func (w *dueWatch) tell() {
+// signal sends to due without blocking; a signal that was not read yet suffices.
+func (t *dueTimer) signal() {
 	select {
-	case w.due <- struct{}{}:
+	case t.due <- struct{}{}:
 	default:
 	}
 }
 
-// stop stops the timer; the lock is held.
-func (w *dueWatch) stop() {
-	if w.timer != nil {
-		w.timer.Stop()
+// stop stops the timer. The caller holds the lock.
+func (t *dueTimer) stop() {
+	if t.timer != nil {
+		t.timer.Stop()
 	}
 }
 
-// end ends the watch: nothing is told any more.
-func (w *dueWatch) end() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.ended = true
-	w.stop()
+// end stops the timer for good: nothing is signaled any more.
+func (t *dueTimer) end() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.ended = true
+	t.stop()
 }
--- a/ingress/ends.go
+++ b/ingress/ends.go
@@ -7,14 +7,14 @@
 	"github.com/lynxplank/lynxplank/gen/peerpb"
 )
 
-// lost tells that a request was handed over and that its link broke.
-func lost(end *peerpb.End) bool {
+// linkLost reports whether a request was dispatched and its link broke afterwards.
+func linkLost(end *peerpb.End) bool {
 	return end.GetOutcome() == peerpb.Outcome_OUTCOME_UNKNOWN && fault.Code(end.GetCode()) == fault.LinkLost
 }
 
-// worked tells whether an end is evidence about the endpoint. A lost link is evidence about the link, and a refusal
-// about load, an answer that its caller read too slowly about the caller; what timed out counts against the endpoint, which had the request.
-func worked(end *peerpb.End) bool {
+// isEndpointSample reports whether an end says something about the endpoint. A lost link does not, nor does a refusal
+// for load or an answer that its caller read too slowly. A timeout does, since the endpoint had the request.
+func isEndpointSample(end *peerpb.End) bool {
 	switch fault.Code(end.GetCode()) {
 	case fault.LinkLost, fault.LinkDown, fault.Canceled, fault.CallerSlow, fault.Protocol, fault.OfferLapsed:
 		return false
@@ -24,7 +24,7 @@
 	return end.GetOutcome() == peerpb.Outcome_OUTCOME_RAN
 }
 
-// failed tells whether a caller has not had a whole answer with the work done: one that broke off or says 5xx has not.
+// failed reports whether the caller has no complete, successful answer: the answer broke off or has a 5xx status.
 func (a *answer) failed(end *peerpb.End) bool {
 	if end.GetOutcome() != peerpb.Outcome_OUTCOME_RAN || !end.GetComplete() {
 		return true
@@ -32,7 +32,8 @@
 	return a.head.GetStatus() >= http.StatusInternalServerError
 }
 
-// declined tells that an endpoint turned the request away for want of a slot or of trust, before anything was sent.
+// declined reports whether an endpoint refused the request before it was sent, because it had no free slot or was under
+// suspicion, or because the offered slot was not taken in time.
 func declined(end *peerpb.End) bool {
 	switch fault.Code(end.GetCode()) {
 	case fault.Busy, fault.Suspect, fault.Cold, fault.OfferLapsed:
@@ -41,8 +42,8 @@
 	return false
 }
 
-// crowded tells that an egress had no room for a request, which its endpoint has not seen.
-func crowded(end *peerpb.End) bool {
+// egressFull reports whether an egress had no capacity for a request, which its endpoint has not seen.
+func egressFull(end *peerpb.End) bool {
 	switch fault.Code(end.GetCode()) {
 	case fault.Overloaded, fault.DeadlineTooShort:
 		return end.GetOutcome() == peerpb.Outcome_OUTCOME_NOT_RUN
@@ -50,7 +51,7 @@
 	return false
 }
 
-// misplaced tells that the sender's view was old, or its link down.
+// misplaced reports whether the request was refused because the sender's view was outdated or its link was down.
 func misplaced(end *peerpb.End) bool {
 	switch fault.Code(end.GetCode()) {
 	case fault.Draining, fault.Evacuated, fault.OutOfRegion, fault.WrongHost, fault.EndpointMoved, fault.LinkDown, fault.Stale:
@@ -59,9 +60,9 @@
 	return false
 }
 
-// reached tells that an endpoint may have had the request, whether it ran it or not: whatever it is sent to next is a further
-// send, for which the service's retries are asked.
-func reached(end *peerpb.End) bool {
+// reachedEndpoint reports whether an endpoint may have had the request, whether it ran it or not. Each later send is
+// then a retry that consumes the service's retry budget.
+func reachedEndpoint(end *peerpb.End) bool {
 	switch fault.Code(end.GetCode()) {
 	case fault.EndpointShed, fault.EndpointMoved:
 		return true
@@ -69,12 +70,13 @@
 	return end.GetOutcome() != peerpb.Outcome_OUTCOME_NOT_RUN
 }
 
-// truth makes the last end speak for the whole request: what an earlier send may have run is never told as not run.
-func (x *exchange) truth(end *peerpb.End) *peerpb.End {
+// withOverallOutcome extends the outcome of the last send to the whole request: if an earlier send ran or may have run,
+// the request is never reported as not run.
+func (x *exchange) withOverallOutcome(end *peerpb.End) *peerpb.End {
 	if end.GetOutcome() != peerpb.Outcome_OUTCOME_NOT_RUN {
 		return end
 	}
-	if x.ran || x.unknown {
+	if x.ran || x.mayHaveRun {
 		end.Outcome = peerpb.Outcome_OUTCOME_UNKNOWN
 	}
 	return end
--- a/ingress/exchange.go
+++ b/ingress/exchange.go
@@ -18,142 +18,149 @@
 )
 
 const (
-	// mostOffers bounds the endpoints that are asked for a free slot before the request waits for one.
-	mostOffers = 6
-	// mostFar bounds those of other halls among them: each costs about 400 bytes between halls.
-	mostFar = 3
-	// mostWaits bounds the endpoints at whose queues it waits, one after the other.
-	mostWaits = 3
-	// mostDeclined bounds how often a request may be turned away before it is given up.
-	mostDeclined = 100
-	// inlineBody is the largest body that goes with an offer, in bytes; a longer one follows the hand-over.
+	// maxOffers bounds the endpoints that are asked for a free slot before the request waits in a queue.
+	maxOffers = 6
+	// maxRemoteOffers bounds the offers to other halls among them: each costs about 400 bytes between halls.
+	maxRemoteOffers = 3
+	// maxWaits bounds the endpoints in whose queues the request waits, one after another.
+	maxWaits = 3
+	// maxDeclined bounds how often a request may be declined before it is given up.
+	maxDeclined = 100
+	// inlineBody is the largest body, in bytes, that is sent with an offer; a longer one follows at the dispatch.
 	inlineBody = 16 << 10
 )
 
-// exchange is one caller's request on its way through one or more sends.
+// exchange is one caller's request with all its sends.
 type exchange struct {
 	g *Ingress
-	// start is when the request came.
+	// start is when the request arrived.
 	start time.Time
-	// watch tells how long the host was suspended since then.
-	watch  clock.Stopwatch
-	call   call
-	body   *requestBody
-	answer *answer
-	// winner is the send whose answer goes to the caller.
+	// stopwatch measures how long the host was suspended since then.
+	stopwatch clock.Stopwatch
+	call      call
+	body      *requestBody
+	answer    *answer
+	// winner selects the send whose answer goes to the caller.
 	winner   *winner
 	refusals *refusals
-	// holds are what the answers of the sends hold of the node's budget.
+	// holds count the answers of the sends against the node's memory budget.
 	holds []*memory.Hold
-	// tried are the endpoints that have had the request or have turned it away for a reason that lasts.
+	// tried are the endpoints that had the request, or refused it for a lasting reason.
 	tried []string
-	// declined are those of this round that had no free slot, or took only trials, when they were asked.
+	// declined are the endpoints that had no free slot, or took only trials, when they were asked in this round.
 	declined []string
-	// suspects are those of the declined that took only trials; lastResort is set once nothing else is left.
+	// suspects are the declined endpoints that took only trials. lastResort is set once there are no others left.
 	suspects   []string
 	lastResort bool
-	// spare is set when a request that has no room elsewhere asks those under suspicion that mostly do their work.
-	spare bool
-	// lasts counts the endpoints asked as a last resort.
-	lasts int
+	// likelyOnly is set when a request that found no capacity elsewhere asks only those suspects that passed most of
+	// their trials.
+	likelyOnly bool
+	// lastResortTries counts the endpoints asked as a last resort.
+	lastResortTries int
 	// suspectSince is when all endpoints were first found to take only trials.
 	suspectSince time.Time
-	// offers counts the endpoints that were asked for a free slot, waits those at whose queues the request waited.
-	offers int
-	far    int
-	waits  int
-	// hallUntil is how long the request waits for a slot in its own hall, the zero time before it has looked for one.
-	hallUntil time.Time
-	// spent counts the endpoints whose part of the retries was spent.
-	spent int
-	// sends counts the answers, refusals by full queues among them, that the retry policy had to judge.
+	// offers counts the endpoints that were asked for a free slot, remoteOffers those of other halls, waits those in
+	// whose queues the request waited.
+	offers       int
+	remoteOffers int
+	waits        int
+	// hallWaitEnd is the time until which the request waits for a slot in its own hall, zero before it has looked for
+	// one.
+	hallWaitEnd time.Time
+	// budgetRefusals counts the endpoints that had no retries left for the request.
+	budgetRefusals int
+	// sends counts the send results that were passed to the retry policy, including refusals by full queues.
 	sends int
-	// paid is set while the customer's limit has let a send pass that has reached no endpoint yet, pass is that.
-	paid     bool
+	// hasPass is set while pass, granted by the customer's rate limit, has not been used by a send that reached an
+	// endpoint.
+	hasPass  bool
 	pass     ratelimit.Pass
 	progress progress
-	// closing closes progress when the node stops, nil before.
-	closing *time.Timer
-	// trail is who was asked and what came of it, for the log.
+	// closeTimer closes progress while the node stops; nil before.
+	closeTimer *time.Timer
+	// trail records the endpoints that were asked and the results, for the log.
 	trail trail
-	// arrived is set once an endpoint may have had the request.
-	arrived bool
-	// ended counts the endpoints that have ended at the request.
-	ended int
-	// ran is set once a send ran, unknown once one may have run.
-	ran     bool
-	unknown bool
+	// reachedEndpoint is set once an endpoint may have had the request.
+	reachedEndpoint bool
+	// crashes counts the endpoints that crashed while they had the request.
+	crashes int
+	// ran is set once a send ran, mayHaveRun once the outcome of a send is unknown.
+	ran        bool
+	mayHaveRun bool
 }
 
-// run brings the request to an answer and returns how it ended; what the caller is told is up to answer.finish.
+// run sends the request until it has an answer and returns how it ended. answer.finish decides what the caller
+// receives.
 func (x *exchange) run(ctx context.Context) *peerpb.End {
-	if x.call.claims() {
+	if x.call.needsClaim() {
 		return x.runKeyed(ctx)
 	}
 	return x.runAnywhere(ctx)
 }
 
-// runAnywhere sends the request to chosen endpoints until an answer stands or no further send is allowed.
+// runAnywhere sends the request to endpoints picked by the director until there is a final answer or no retry is
+// allowed.
 func (x *exchange) runAnywhere(ctx context.Context) *peerpb.End {
 	var last *peerpb.End
 	for {
-		pick, wait, err := x.choose(ctx)
+		pick, wait, err := x.pickUnlessStopping(ctx)
 		if err != nil {
 			if last != nil {
-				return x.truth(last)
+				return x.withOverallOutcome(last)
 			}
-			return x.truth(x.unsent(ctx, peer.NotRun(fault.CodeOf(err), 0)))
+			return x.withOverallOutcome(x.asStoppingIfUnsent(ctx, peer.NotRun(fault.CodeOf(err), 0)))
 		}
 		end := x.sendTo(ctx, &pick, wait)
-		again := x.again(ctx, pick, end)
+		retryNext := x.shouldRetry(ctx, pick, end)
 		if last != nil && x.ran && end.GetOutcome() == peerpb.Outcome_OUTCOME_NOT_RUN {
-			// Nobody took the request again: what the last endpoint answered still stands.
+			// The retry did not run, so the previous endpoint's answer is still the best.
 			end = last
 		}
-		if !again || !x.pay(ctx) {
-			return x.truth(x.unsent(ctx, end))
+		if !retryNext || !x.takePass(ctx) {
+			return x.withOverallOutcome(x.asStoppingIfUnsent(ctx, end))
 		}
 		last = end
 	}
 }
 
-// pay has the customer's limit let a further send pass, unless the last that passed has reached no endpoint: what endpoints run is
-// what the limit counts.
-func (x *exchange) pay(ctx context.Context) bool {
-	if !x.paid {
-		x.pass, _, x.paid = x.g.limits.Take(ctx, x.call.customer)
+// takePass obtains a pass from the customer's rate limit for the next send, unless the last pass was not used by a send
+// that reached an endpoint: the limit counts what endpoints run.
+func (x *exchange) takePass(ctx context.Context) bool {
+	if !x.hasPass {
+		x.pass, _, x.hasPass = x.g.limits.Take(ctx, x.call.customer)
 	}
-	return x.paid
+	return x.hasPass
 }
 
-// sendTo sends the request to the endpoint that was picked; pick names the one that decided, which may be another.
+// sendTo sends the request to the picked endpoint. On return pick is the endpoint whose end is returned, which may be
+// that of a hedge.
 func (x *exchange) sendTo(ctx context.Context, pick *director.Pick, wait bool) (end *peerpb.End) {
 	if !x.call.repeatable {
-		// Only now that another endpoint is there, what the last one answered is given up.
+		// The previous answer is discarded only now that another endpoint was found.
 		x.answer.reset()
 		return x.send(ctx, *pick, nil, wait)
 	}
-	answered := x.answer
+	previous := x.answer
 	*pick, end = x.sendRepeatable(ctx, *pick, wait)
 	if end.GetOutcome() == peerpb.Outcome_OUTCOME_NOT_RUN {
-		x.answer = answered
+		x.answer = previous
 	}
 	return end
 }
 
-// choose is pick, given up when the node stops.
-func (x *exchange) choose(ctx context.Context) (director.Pick, bool, error) {
-	waiting, done := x.progress.wait(ctx, nil)
+// pickUnlessStopping is pick, canceled when the node stops.
+func (x *exchange) pickUnlessStopping(ctx context.Context) (director.Pick, bool, error) {
+	waiting, done := x.progress.untilDispatch(ctx, nil)
 	defer done()
 	pick, wait, err := x.pick(waiting)
 	if ctx.Err() == nil && waiting.Err() != nil {
-		err = fault.New(fault.Canceled, x.call.service.Key, "no endpoint was chosen in time")
+		err = fault.New(fault.Canceled, x.call.service.Key, "no endpoint was picked before the node stopped dispatching")
 	}
 	return pick, wait, err
 }
 
-// pick chooses the next endpoint: first those with a free slot, which are asked and not waited for, then the one where
-// the wait is shortest, and when every endpoint is under suspicion one of these all the same.
+// pick chooses the next endpoint. It first asks endpoints that seem to have a free slot, without waiting, then the
+// endpoint with the shortest queue wait, and if all endpoints are under suspicion, one of these.
 func (x *exchange) pick(ctx context.Context) (director.Pick, bool, error) {
 	if x.lastResort {
 		return x.pickLast(ctx)
@@ -161,19 +168,19 @@
 	if pick, ok := x.pickFree(ctx); ok {
 		return pick, false, nil
 	}
-	x.offers = mostOffers
-	if x.waits++; x.waits > mostWaits {
-		return director.Pick{}, true, fault.New(fault.Overloaded, x.call.service.Key, "every endpoint asked is full")
+	x.offers = maxOffers
+	if x.waits++; x.waits > maxWaits {
+		return director.Pick{}, true, fault.New(fault.Overloaded, x.call.service.Key, "no endpoint that was asked has room in its queue")
 	}
-	wish := x.wish()
-	wish.Least = true
-	// Whoever waits anyway waits in its own hall first.
-	wish.Near = x.waits == 1
-	wish.Tried = slices.Concat(x.tried, x.suspects)
-	pick, err := x.g.director.Pick(ctx, wish)
-	if err != nil && wish.Near {
-		wish.Near = false
-		pick, err = x.g.director.Pick(ctx, wish)
+	opts := x.pickOptions()
+	opts.Least = true
+	// A request that has to queue first does so in its own hall.
+	opts.Near = x.waits == 1
+	opts.Tried = slices.Concat(x.tried, x.suspects)
+	pick, err := x.g.director.Pick(ctx, opts)
+	if err != nil && opts.Near {
+		opts.Near = false
+		pick, err = x.g.director.Pick(ctx, opts)
 	}
 	if err != nil && len(x.suspects) > 0 {
 		return x.pickSuspect(ctx)
@@ -181,14 +188,15 @@
 	return pick, true, err
 }
 
-// pickFree chooses an endpoint that seems to have a free slot, in the own hall as long as the request can wait for one there.
+// pickFree chooses an endpoint that seems to have a free slot, in this node's hall for as long as the request can wait
+// for a slot there.
 func (x *exchange) pickFree(ctx context.Context) (director.Pick, bool) {
-	for x.offers < mostOffers {
+	for x.offers < maxOffers {
 		x.offers++
-		wish := x.wish()
-		wish.Free, wish.Near = true, true
-		wish.Tried = slices.Concat(x.tried, x.declined)
-		pick, err := x.g.director.Pick(ctx, wish)
+		opts := x.pickOptions()
+		opts.Free, opts.Near = true, true
+		opts.Tried = slices.Concat(x.tried, x.declined)
+		pick, err := x.g.director.Pick(ctx, opts)
 		if err == nil {
 			return pick, true
 		}
@@ -196,11 +204,11 @@
 			x.offers, x.declined = 0, slices.Clone(x.suspects)
 			continue
 		}
-		if x.far++; x.far > mostFar {
+		if x.remoteOffers++; x.remoteOffers > maxRemoteOffers {
 			break
 		}
-		wish.Near = false
-		if pick, err := x.g.director.Pick(ctx, wish); err == nil {
+		opts.Near = false
+		if pick, err := x.g.director.Pick(ctx, opts); err == nil {
 			return pick, true
 		}
 		break
@@ -208,136 +216,139 @@
 	return director.Pick{}, false
 }
 
-// wish is what any endpoint for the request must meet.
-func (x *exchange) wish() director.Wish {
+// pickOptions returns the requirements that apply to every send of the request.
+func (x *exchange) pickOptions() director.Wish {
 	return director.Wish{
-		Service: x.call.service.Key, Repeatable: x.call.repeatable && x.sends == 0, Tried: x.tried, Again: x.further(),
+		Service: x.call.service.Key, Repeatable: x.call.repeatable && x.sends == 0, Tried: x.tried, Again: x.isRetry(),
 		Regions: x.call.regions,
 	}
 }
 
-// send makes one send and reports what it showed of the endpoint.
+// send makes one send and reports to the director what it showed of the endpoint.
 func (x *exchange) send(ctx context.Context, pick director.Pick, claim *peerpb.Claim, wait bool) *peerpb.End {
 	x.answer.late.begin(func() { x.g.director.Late(x.call.service.Key, pick) })
-	d := x.dispatch(ctx, pick, claim)
-	x.mark(d, wait)
+	d := x.buildDispatch(ctx, pick, claim)
+	x.markSend(d, wait)
 	ctx, cancel := context.WithCancel(ctx)
-	a := &attempt{pick: pick, answer: x.answer, at: time.Since(x.start), cancel: cancel}
+	a := &attempt{pick: pick, answer: x.answer, offset: time.Since(x.start), cancel: cancel}
 	a.end = x.deliver(ctx, pick.Endpoint, d, x.answer)
-	x.settleAttempt(a)
+	x.recordAttempt(a)
 	return a.end
 }
 
-// mark says in a dispatch which kind of send it is.
-func (x *exchange) mark(d *peerpb.Dispatch, wait bool) {
-	d.Wait, d.LastResort, d.LikelyOnly = wait, x.lastResort, x.spare || !x.call.repeatable
+// markSend sets the fields of a dispatch that describe the kind of send.
+func (x *exchange) markSend(d *peerpb.Dispatch, wait bool) {
+	d.Wait, d.LastResort, d.LikelyOnly = wait, x.lastResort, x.likelyOnly || !x.call.repeatable
 	d.Canary = x.call.repeatable && x.sends == 0
-	d.Repeat = x.further()
+	d.Repeat = x.isRetry()
 	if !d.Repeat {
-		d.OfRepeat = x.call.ofRepeat
+		d.OfRepeat = x.call.fromRetryChance
 	}
 }
 
-// further tells that the next send is one that the service's retries are asked for.
-func (x *exchange) further() bool { return x.arrived || x.call.further }
+// isRetry reports whether the next send consumes the service's retry budget.
+func (x *exchange) isRetry() bool { return x.reachedEndpoint || x.call.fromRetry }
 
-// newAnswer returns the sink of one more send.
+// newAnswer returns the sink for another send.
 func (x *exchange) newAnswer() *answer {
 	a := newAnswer(x.answer.w, x.call, x.g.cfg.Contract, x.winner)
 	a.progress = &x.progress
-	x.holdFor(a)
+	x.trackMemory(a)
 	return a
 }
 
-// holdFor has what an answer holds counted in the node's budget.
-func (x *exchange) holdFor(a *answer) {
-	a.hold = x.g.budget.Hold(x.call.customer)
-	x.holds = append(x.holds, a.hold)
+// trackMemory counts what an answer holds against the node's memory budget.
+func (x *exchange) trackMemory(a *answer) {
+	a.memoryHold = x.g.budget.Hold(x.call.customer)
+	x.holds = append(x.holds, a.memoryHold)
 }
 
-// leave has sends that outlive the request give back themselves what their answers hold.
-func (x *exchange) leave(running []*attempt) {
+// detachHolds makes sends that outlive the request responsible for freeing what their answers hold.
+func (x *exchange) detachHolds(running []*attempt) {
 	for _, a := range running {
-		x.holds = slices.DeleteFunc(x.holds, func(h *memory.Hold) bool { return h == a.answer.hold })
+		x.holds = slices.DeleteFunc(x.holds, func(h *memory.Hold) bool { return h == a.answer.memoryHold })
 	}
 }
 
-// free gives back what the answers of the sends that have ended hold.
-func (x *exchange) free() {
+// freeHolds frees what the answers of the ended sends hold.
+func (x *exchange) freeHolds() {
 	for _, h := range x.holds {
 		h.Free()
 	}
 }
 
-// count shows in the metrics what came of asking an endpoint.
-func (x *exchange) count(end *peerpb.End) {
-	class := x.g.metrics.Service(x.call.service.Key)
-	class.Asked(contract.OutcomeName(end.GetOutcome()), end.GetCode())
+// countAsked counts the result of asking an endpoint in the metrics.
+func (x *exchange) countAsked(end *peerpb.End) {
+	serviceMetrics := x.g.metrics.Service(x.call.service.Key)
+	serviceMetrics.Asked(contract.OutcomeName(end.GetOutcome()), end.GetCode())
 	if service := end.GetLoad().GetServiceMicros(); service > 0 {
-		class.Work.RecordDuration(time.Duration(service) * time.Microsecond)
+		serviceMetrics.Work.RecordDuration(time.Duration(service) * time.Microsecond)
 	}
 }
 
-// note keeps what an end says of whether the request ran, for truth.
-func (x *exchange) note(end *peerpb.End) {
-	if reached(end) {
-		x.arrived, x.paid = true, false
+// recordEnd records what an end shows of whether the request ran, for withOverallOutcome.
+func (x *exchange) recordEnd(end *peerpb.End) {
+	if reachedEndpoint(end) {
+		x.reachedEndpoint, x.hasPass = true, false
 	}
 	if end.GetEnded() {
-		x.ended++
+		x.crashes++
 	}
 	x.ran = x.ran || end.GetOutcome() == peerpb.Outcome_OUTCOME_RAN
-	x.unknown = x.unknown || end.GetOutcome() == peerpb.Outcome_OUTCOME_UNKNOWN
+	x.mayHaveRun = x.mayHaveRun || end.GetOutcome() == peerpb.Outcome_OUTCOME_UNKNOWN
 }
 
-// dispatch is the request as an endpoint's node is asked for it; a claim stands in it for keyed requests only.
-func (x *exchange) dispatch(ctx context.Context, pick director.Pick, claim *peerpb.Claim) *peerpb.Dispatch {
+// buildDispatch returns the request as it is sent to an endpoint's node. claim is nil for requests without a key.
+func (x *exchange) buildDispatch(ctx context.Context, pick director.Pick, claim *peerpb.Claim) *peerpb.Dispatch {
 	deadline, _ := ctx.Deadline()
 	d := &peerpb.Dispatch{
 		RequestId: x.call.id, Endpoint: pick.Endpoint.Key, Service: x.call.service.Key, Customer: x.call.customer,
 		Method: x.call.method, Target: x.call.target, Host: x.call.host, Headers: x.call.headers,
-		BudgetMicros: x.left(deadline).Microseconds(), Repeatable: x.call.repeatable, Claim: claim,
+		BudgetMicros: x.timeLeft(deadline).Microseconds(), Repeatable: x.call.repeatable, Claim: claim,
 		Route: x.call.route.Key, Config: x.call.config,
 		Revision: x.call.revision, LateMicros: pick.Late.Microseconds(), Caller: x.g.cfg.Service,
-		Priority: x.call.rank(x.g.snapshot().State), Keyed: x.call.keyed, AimMicros: x.aimLeft().Microseconds(),
-		UsualMicros: x.g.routes.usual(x.call.route.Key, x.aim()).Microseconds(), Content: x.call.content[:],
+		Priority: x.call.rank(x.g.snapshot().State), Keyed: x.call.hasCustomerKey, AimMicros: x.latencyTargetLeft().Microseconds(),
+		UsualMicros: x.g.routeStats.medianTime(x.call.route.Key, x.latencyTarget()).Microseconds(), Content: x.call.fingerprint[:],
 	}
-	if len(x.body.head) <= inlineBody {
-		d.Body = x.body.head
+	if len(x.body.data) <= inlineBody {
+		d.Body = x.body.data
 	} else {
-		d.BodyLength = int64(len(x.body.head))
+		d.BodyLength = int64(len(x.body.data))
 	}
 	if claim == nil {
-		d.Exchange = x.g.cfg.Incarnation + x.g.sent.Add(1)
+		d.Exchange = x.g.cfg.Incarnation + x.g.exchangeCount.Add(1)
 	}
 	return d
 }
 
-// left is the time left until the deadline, at least a moment: for the caller it went on while the host was suspended.
-func (x *exchange) left(deadline time.Time) time.Duration {
-	return max(time.Until(deadline)-x.watch.Suspended(), time.Microsecond)
+// timeLeft returns the time until the deadline, at least a microsecond. Time in which the host was suspended counts,
+// since it passed for the caller.
+func (x *exchange) timeLeft(deadline time.Time) time.Duration {
+	return max(time.Until(deadline)-x.stopwatch.Suspended(), time.Microsecond)
 }
 
-// aim is the time from the request's arrival in which its answer is worth its full value, 0 if the route has none.
-func (x *exchange) aim() time.Duration { return time.Duration(x.call.route.Value.Aim) }
+// latencyTarget is the time from the request's arrival within which an answer has its full value, 0 if the route has
+// none.
+func (x *exchange) latencyTarget() time.Duration { return time.Duration(x.call.route.Value.Aim) }
 
-// aimLeft is what is left of the aim, at least a moment if the route has one.
-func (x *exchange) aimLeft() time.Duration {
-	aim := x.aim()
-	if aim == 0 {
+// latencyTargetLeft is what remains of the latency target, at least a microsecond, or 0 if the route has none.
+func (x *exchange) latencyTargetLeft() time.Duration {
+	target := x.latencyTarget()
+	if target == 0 {
 		return 0
 	}
-	return max(aim-time.Since(x.start), time.Microsecond)
+	return max(target-time.Since(x.start), time.Microsecond)
 }
 
-// overdue tells whether the aim is over.
+// overdue reports whether the latency target has passed.
 func (x *exchange) overdue() bool {
-	aim := x.aim()
-	return aim > 0 && time.Since(x.start) > aim
+	target := x.latencyTarget()
+	return target > 0 && time.Since(x.start) > target
 }
 
-// unsent tells of a request that no endpoint has had, and that gets to none because the node stops, that another node takes it at once.
-func (x *exchange) unsent(ctx context.Context, end *peerpb.End) *peerpb.End {
+// asStoppingIfUnsent changes the end of a request that reached no endpoint and will reach none because the node stops,
+// so that the caller retries at another node at once.
+func (x *exchange) asStoppingIfUnsent(ctx context.Context, end *peerpb.End) *peerpb.End {
 	if end.GetOutcome() != peerpb.Outcome_OUTCOME_NOT_RUN || ctx.Err() != nil || !x.progress.isClosed() ||
 		fault.Code(end.GetCode()) == fault.FatalRequest {
 		return end
@@ -345,51 +356,53 @@
 	return peer.NotRun(fault.Stopping, elsewhereRetryAfter)
 }
 
-// again decides on a further send.
-func (x *exchange) again(ctx context.Context, pick director.Pick, end *peerpb.End) bool {
+// shouldRetry reports whether the request is to be sent to another endpoint.
+func (x *exchange) shouldRetry(ctx context.Context, pick director.Pick, end *peerpb.End) bool {
 	if ctx.Err() != nil || x.progress.isClosed() {
 		return false
 	}
-	if fault.Code(end.GetCode()) == fault.FatalRequest || x.mayEnd() {
+	if fault.Code(end.GetCode()) == fault.FatalRequest || x.suspectedPoison() {
 		return false
 	}
 	if declined(end) {
 		return x.afterDeclined(pick.Endpoint.Key, end)
 	}
 	if fault.Code(end.GetCode()) == fault.RetryBudget {
-		return x.afterSpent(pick.Endpoint.Key)
+		return x.afterBudgetRefusal(pick.Endpoint.Key)
 	}
 	x.tried = append(x.tried, pick.Endpoint.Key)
 	if misplaced(end) {
-		return x.current(ctx, end)
+		return x.refreshConfig(ctx, end)
 	}
-	if crowded(end) && len(x.suspects) > 0 && !x.lastResort {
-		x.lastResort, x.spare = true, true
+	if egressFull(end) && len(x.suspects) > 0 && !x.lastResort {
+		x.lastResort, x.likelyOnly = true, true
 		return true
 	}
 	if x.overdue() && end.GetOutcome() == peerpb.Outcome_OUTCOME_NOT_RUN {
-		// It has waited as long as an answer has its worth: the caller is told now.
+		// The request has waited for its whole latency target: the caller learns of the refusal now.
 		return false
 	}
 	x.sends++
-	if !x.refusals.decide(x.judgement(ctx, pick, end)) {
+	if !x.refusals.decide(x.retryAttempt(ctx, pick, end)) {
 		return false
 	}
 	x.g.metrics.Service(x.call.service.Key).Retries.Inc(1)
-	x.logAgain(end)
+	x.logRetry(end)
 	return true
 }
 
-// mostOwnEnds is how many endpoints may end at one request's own sends: with one more it would be barred before it comes again.
-const mostOwnEnds = poison.BarAfter - 1
+// maxOwnCrashes is how many endpoints may crash on the sends of one request: one more would have it blocked before it
+// comes again.
+const maxOwnCrashes = poison.BarAfter - 1
 
-// mayEnd tells whether a further send is not to be made because an endpoint has ended under the same request before, and one may have
-// had this one: with a second send each arrival of such a request ends two.
-func (x *exchange) mayEnd() bool {
-	return x.arrived && x.g.fatal.Ends(x.call.content) >= poison.SendOnce || x.ended >= mostOwnEnds
+// suspectedPoison reports whether a retry is ruled out because endpoints have crashed under this request: at its own
+// sends, or at earlier ones while an endpoint may have had this one. With a retry, each arrival of such a request would
+// crash two endpoints.
+func (x *exchange) suspectedPoison() bool {
+	return x.reachedEndpoint && x.g.crashes.Ends(x.call.fingerprint) >= poison.SendOnce || x.crashes >= maxOwnCrashes
 }
 
-// afterDeclined notes an endpoint that turned the request away before anything was sent, and tells whether to ask another.
+// afterDeclined records an endpoint that declined the request before it was sent, and reports whether to ask another.
 func (x *exchange) afterDeclined(key string, end *peerpb.End) bool {
 	x.declined = append(x.declined, key)
 	if fault.Code(end.GetCode()) == fault.Suspect {
@@ -398,29 +411,29 @@
 	if x.lastResort {
 		x.tried = append(x.tried, key)
 	} else if x.waits > 0 {
-		// Nothing was waited for: the next one may have a queue.
+		// The request did not wait in a queue; the next endpoint may have one.
 		x.waits--
 	}
-	return len(x.declined) < mostDeclined
+	return len(x.declined) < maxDeclined
 }
 
-// mostSpent bounds the endpoints that are asked to take a request again although others have no retries left: each saves up
-// two or three, which one failing endpoint beside it can use up.
-const mostSpent = 6
+// maxBudgetRefusals bounds the endpoints that are asked to take a retry although others have no retries left: each
+// endpoint saves up two or three retries, which one failing endpoint beside it can use up.
+const maxBudgetRefusals = 6
 
-// afterSpent notes an endpoint whose part of the retries is spent, and tells whether to ask another.
-func (x *exchange) afterSpent(key string) bool {
+// afterBudgetRefusal records an endpoint that has no retries left, and reports whether to ask another.
+func (x *exchange) afterBudgetRefusal(key string) bool {
 	x.declined = append(x.declined, key)
-	x.spent++
-	return x.spent < mostSpent
+	x.budgetRefusals++
+	return x.budgetRefusals < maxBudgetRefusals
 }
 
-// judgement is the latest send as the retry policy judges it.
-func (x *exchange) judgement(ctx context.Context, pick director.Pick, end *peerpb.End) retry.Attempt {
+// retryAttempt describes the latest send to the retry policy.
+func (x *exchange) retryAttempt(ctx context.Context, pick director.Pick, end *peerpb.End) retry.Attempt {
 	deadline, _ := ctx.Deadline()
 	return retry.Attempt{
 		Number: x.sends, Most: int(x.call.route.Value.Attempts), Outcome: end.GetOutcome(), Repeatable: x.call.repeatable,
-		Overloaded: crowded(end) || fault.Code(end.GetCode()) == fault.EndpointShed,
+		Overloaded: egressFull(end) || fault.Code(end.GetCode()) == fault.EndpointShed,
 		Failed:     x.answer.failed(end), Started: x.answer.started, Replayable: true,
 		Left: time.Until(deadline), Typical: pick.Typical,
 	}
--- a/ingress/hedge.go
+++ b/ingress/hedge.go
@@ -16,11 +16,12 @@
 )
 
 const (
-	// mostSeconds bounds the endpoints that are asked in a row to take a second send: those beyond have mostly no free slot
-	// either.
-	mostSeconds = 4
-	// secondPause is the wait until they are asked again, a part of the time in which an endpoint ends a short piece of work.
-	secondPause = 50 * time.Millisecond
+	// maxHedgeOffers bounds the endpoints that are asked in a row to take a hedge: most of those beyond have no free
+	// slot either.
+	maxHedgeOffers = 4
+	// hedgeRetryInterval is the wait before they are asked again, shorter than an endpoint takes for a short piece of
+	// work.
+	hedgeRetryInterval = 50 * time.Millisecond
 )
 
 // winner is the one send of a request whose answer goes to the caller.
@@ -28,116 +29,116 @@
 	answer atomic.Pointer[answer]
 }
 
-// other tells whether the answer of a send besides a goes to the caller.
-func (w *winner) other(a *answer) bool {
+// takenByOther reports whether the answer of a send other than a's goes to the caller.
+func (w *winner) takenByOther(a *answer) bool {
 	first := w.answer.Load()
 	return first != nil && first != a
 }
 
-// take makes a the one whose answer goes to the caller; false when another send is.
+// take makes a the answer that goes to the caller. It returns false if another answer was first.
 func (w *winner) take(a *answer) bool {
 	return w.answer.CompareAndSwap(nil, a) || w.answer.Load() == a
 }
 
-// attempt is one of the sends of a request that are under way side by side.
+// attempt is one of the concurrent sends of a request.
 type attempt struct {
 	pick   director.Pick
 	answer *answer
-	// at is how long after the request's arrival it began.
-	at     time.Duration
-	second bool
-	// pass is what the customer's limit has let pass for a second send.
+	// offset is the time from the request's arrival to the start of the send.
+	offset  time.Duration
+	isHedge bool
+	// pass is the pass that the customer's rate limit granted for a hedge.
 	pass   ratelimit.Pass
 	cancel context.CancelFunc
 	end    *peerpb.End
 }
 
-// hedge is the sends of a repeatable request that are under way side by side; one goroutine owns it.
-type hedge struct {
-	x       *exchange
-	ended   chan *attempt
-	running []*attempt
-	// done are the sends that have ended, but for second ones that were refused; the last one decides.
-	done []*attempt
-	// beaten are those that have ended while the answer of another was on its way to the caller.
-	beaten []*attempt
-	// declined are the endpoints that turned the second send away.
+// hedgedRequest holds the concurrent sends of a repeatable request; one goroutine owns it.
+type hedgedRequest struct {
+	x        *exchange
+	finished chan *attempt
+	running  []*attempt
+	// completed are the sends that have ended, without refused hedges; the last of them decides.
+	completed []*attempt
+	// superseded are the sends that ended while the answer of another was on its way to the caller.
+	superseded []*attempt
+	// declined are the endpoints that refused the hedge.
 	declined []string
 }
 
-// sendRepeatable sends a repeatable request, and sends it to a second endpoint once its answer is due and missing. The first
-// good answer counts, and the other send is cancelled: its slot is worth more than its answer.
+// sendRepeatable sends a repeatable request, and hedges it to a second endpoint if its answer is overdue. The first
+// good answer counts and the other send is canceled: its slot is worth more than its answer.
 //
-// An endpoint that stops answering for a second loses what it has, and each of its lookups with its caller's request: without
-// second sends 21 in 100 requests go unserved instead of 15 (docs/DECISIONS.md).
+// An endpoint that stops answering for a second fails the requests it has, and with each of its own lookups the
+// caller's request behind it. Without hedges 21 in 100 requests go unserved instead of 15 (docs/DECISIONS.md).
 func (x *exchange) sendRepeatable(ctx context.Context, pick director.Pick, wait bool) (director.Pick, *peerpb.End) {
-	h := &hedge{x: x, ended: make(chan *attempt, 1+mostSeconds)}
+	h := &hedgedRequest{x: x, finished: make(chan *attempt, 1+maxHedgeOffers)}
 	first := h.start(ctx, pick, wait, false)
 	due := first.answer.due.due
 	for {
 		select {
-		case a := <-h.ended:
-			if h.decides(ctx, a) {
-				return h.close()
+		case a := <-h.finished:
+			if h.finishAttempt(ctx, a) {
+				return h.finish()
 			}
 		case <-due:
-			h.startSecond(ctx)
+			h.startHedge(ctx)
 		}
 	}
 }
 
-// refusedSecond tells that an endpoint did not take a second send, which says nothing of the request.
-func refusedSecond(end *peerpb.End) bool {
+// hedgeRefused reports whether an endpoint did not take a hedge, which says nothing about the request.
+func hedgeRefused(end *peerpb.End) bool {
 	switch fault.Code(end.GetCode()) {
 	case fault.RetryBudget, fault.Stopping:
 		return true
 	}
-	return declined(end) || misplaced(end) || crowded(end)
+	return declined(end) || misplaced(end) || egressFull(end)
 }
 
 // start begins a send.
-func (h *hedge) start(ctx context.Context, pick director.Pick, wait, second bool) *attempt {
+func (h *hedgedRequest) start(ctx context.Context, pick director.Pick, wait, isHedge bool) *attempt {
 	x := h.x
 	ctx, cancel := context.WithCancel(ctx)
-	a := &attempt{pick: pick, answer: x.newAnswer(), at: time.Since(x.start), second: second, cancel: cancel}
+	a := &attempt{pick: pick, answer: x.newAnswer(), offset: time.Since(x.start), isHedge: isHedge, cancel: cancel}
 	a.answer.late.begin(func() { x.g.director.Late(x.call.service.Key, pick) })
-	d := x.dispatch(ctx, pick, nil)
-	x.mark(d, wait)
-	d.TellDue = !second
-	d.Repeat = d.Repeat || second
+	d := x.buildDispatch(ctx, pick, nil)
+	x.markSend(d, wait)
+	d.TellDue = !isHedge
+	d.Repeat = d.Repeat || isHedge
 	h.running = append(h.running, a)
 	go func() {
 		a.end = x.deliver(ctx, pick.Endpoint, d, a.answer)
-		h.ended <- a
+		h.finished <- a
 	}()
 	return a
 }
 
-// startSecond sends the request to a second endpoint if one seems to have a free slot.
-func (h *hedge) startSecond(ctx context.Context) {
+// startHedge sends the request to a second endpoint if one seems to have a free slot.
+func (h *hedgedRequest) startHedge(ctx context.Context) {
 	x := h.x
-	if x.sends+len(h.running)+len(h.done)+len(h.beaten) >= x.mostSends() || x.refusals.refusing() || !x.adopt() ||
-		x.progress.isClosed() || x.ended >= mostOwnEnds || x.g.fatal.Ends(x.call.content) >= poison.SendOnce {
+	if x.sends+len(h.running)+len(h.completed)+len(h.superseded) >= x.maxSends() || x.refusals.refusing() || !x.adoptConfig() ||
+		x.progress.isClosed() || x.crashes >= maxOwnCrashes || x.g.crashes.Ends(x.call.fingerprint) >= poison.SendOnce {
 		return
 	}
-	if len(h.declined) >= mostSeconds {
-		h.later()
+	if len(h.declined) >= maxHedgeOffers {
+		h.retryLater()
 		return
 	}
-	wish := x.wish()
-	wish.Free, wish.Again = true, true
-	wish.Tried = slices.Concat(x.tried, x.declined, h.declined)
+	opts := x.pickOptions()
+	opts.Free, opts.Again = true, true
+	opts.Tried = slices.Concat(x.tried, x.declined, h.declined)
 	for _, a := range h.running {
-		wish.Tried = append(wish.Tried, a.pick.Endpoint.Key)
+		opts.Tried = append(opts.Tried, a.pick.Endpoint.Key)
 	}
-	pick, err := x.g.director.Pick(ctx, wish)
+	pick, err := x.g.director.Pick(ctx, opts)
 	if err != nil {
-		h.later()
+		h.retryLater()
 		return
 	}
 	pass, _, ok := x.g.limits.Take(ctx, x.call.customer)
 	if !ok {
-		h.later()
+		h.retryLater()
 		return
 	}
 	events.SentTwice.Log(x.g.log).Str("request", x.call.id).Str("service", x.call.service.Key).
@@ -145,54 +146,54 @@
 	h.start(ctx, pick, false, true).pass = pass
 }
 
-// later has the endpoints asked again after a pause.
-func (h *hedge) later() {
+// retryLater has startHedge run again after hedgeRetryInterval.
+func (h *hedgedRequest) retryLater() {
 	h.declined = nil
 	for _, a := range h.running {
-		a.answer.due.in(secondPause)
+		a.answer.due.set(hedgeRetryInterval)
 	}
 }
 
-// decides takes a send that has ended and tells whether the hedge is over.
+// finishAttempt handles a send that has ended and reports whether the hedged request is finished.
 //
-// Invariant: once an answer has begun to go to the caller, its send decides how the request ends, whole or broken off.
-func (h *hedge) decides(ctx context.Context, a *attempt) bool {
-	h.running = slices.DeleteFunc(h.running, func(o *attempt) bool { return o == a })
-	h.x.settleAttempt(a)
-	if a.second && refusedSecond(a.end) {
+// Invariant: once an answer has begun to go to the caller, its send decides how the request ends, whether the answer is
+// complete or breaks off.
+func (h *hedgedRequest) finishAttempt(ctx context.Context, a *attempt) bool {
+	h.running = slices.DeleteFunc(h.running, func(other *attempt) bool { return other == a })
+	h.x.recordAttempt(a)
+	if a.isHedge && hedgeRefused(a.end) {
 		a.pass.Return()
 		h.declined = append(h.declined, a.pick.Endpoint.Key)
 		if len(h.running) > 0 {
-			h.startSecond(ctx)
+			h.startHedge(ctx)
 		}
 		return len(h.running) == 0
 	}
-	if h.x.winner.other(a.answer) {
-		// The send whose answer goes to the caller decides, and it is still under way.
-		h.beaten = append(h.beaten, a)
+	if h.x.winner.takenByOther(a.answer) {
+		// The send whose answer goes to the caller is still running and decides.
+		h.superseded = append(h.superseded, a)
 		return false
 	}
-	h.done = append(h.done, a)
+	h.completed = append(h.completed, a)
 	return len(h.running) == 0 || a.answer.started || !a.answer.failed(a.end) && h.x.winner.take(a.answer)
 }
 
-// close ends the hedge with the send that ended last; those still under way are cancelled, and what becomes of them is
-// reported when they end.
-func (h *hedge) close() (director.Pick, *peerpb.End) {
-	x, last := h.x, h.done[len(h.done)-1]
-	for _, a := range slices.Concat(h.done[:len(h.done)-1], h.beaten, h.running) {
+// finish returns the send that ended last and cancels those still running, which are reported when they end.
+func (h *hedgedRequest) finish() (director.Pick, *peerpb.End) {
+	x, last := h.x, h.completed[len(h.completed)-1]
+	for _, a := range slices.Concat(h.completed[:len(h.completed)-1], h.superseded, h.running) {
 		a.cancel()
 		x.sends++
-		x.arrived = true
+		x.reachedEndpoint = true
 		x.tried = append(x.tried, a.pick.Endpoint.Key)
 	}
-	if rest := len(h.running); rest > 0 {
-		x.leave(h.running)
+	if remaining := len(h.running); remaining > 0 {
+		x.detachHolds(h.running)
 		go func() {
-			for range rest {
-				a := <-h.ended
+			for range remaining {
+				a := <-h.finished
 				x.report(a)
-				a.answer.hold.Free()
+				a.answer.memoryHold.Free()
 			}
 		}()
 	}
@@ -200,34 +201,35 @@
 	return last.pick, last.end
 }
 
-// mostSends is how many sends the request's route allows.
-func (x *exchange) mostSends() int {
+// maxSends is how many sends the request's route allows.
+func (x *exchange) maxSends() int {
 	if n := int(x.call.route.Value.Attempts); n > 0 {
 		return n
 	}
 	return retry.MostAttempts
 }
 
-// settleAttempt notes how a send ended.
-func (x *exchange) settleAttempt(a *attempt) {
-	x.note(a.end)
-	x.count(a.end)
-	x.trail.add(step{endpoint: a.pick.Endpoint.Key, at: a.at, seenMillis: a.pick.SeenMillis, end: a.end})
-	if worked(a.end) && !a.answer.failed(a.end) {
+// recordAttempt records how a send ended.
+func (x *exchange) recordAttempt(a *attempt) {
+	x.recordEnd(a.end)
+	x.countAsked(a.end)
+	x.trail.add(step{endpoint: a.pick.Endpoint.Key, offset: a.offset, reportAgeMillis: a.pick.SeenMillis, end: a.end})
+	if isEndpointSample(a.end) && !a.answer.failed(a.end) {
 		work := time.Duration(a.end.GetLoad().GetServiceMicros()) * time.Microsecond
-		x.g.routes.note(x.call.route.Key, work, len(x.body.head)+a.answer.size)
+		x.g.routeStats.record(x.call.route.Key, work, len(x.body.data)+a.answer.bodySize)
 	}
 	x.report(a)
 }
 
-// report tells the director what a send showed of its endpoint; it needs nothing of the exchange that changes.
+// report reports to the director what a send showed of its endpoint. It reads only fields of the exchange that do not
+// change, so it may run after the exchange.
 func (x *exchange) report(a *attempt) {
 	a.cancel()
 	a.answer.due.end()
 	late := a.answer.late.end()
 	x.g.director.Done(director.Report{
 		Service: x.call.service.Key, Pick: a.pick, WasLate: late, Load: a.end.GetLoad(),
-		Worked: worked(a.end) && !a.end.GetLoad().GetTrial(), Failed: a.answer.failed(a.end),
+		Worked: isEndpointSample(a.end) && !a.end.GetLoad().GetTrial(), Failed: a.answer.failed(a.end),
 		Declined: declined(a.end) || misplaced(a.end), Spent: fault.Code(a.end.GetCode()) == fault.RetryBudget,
 	})
 }
--- a/ingress/hedge_test.go
+++ b/ingress/hedge_test.go
@@ -29,45 +29,46 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// scripted stands for the endpoints beside this node: each does what its word says, and what became of each send is noted.
-type scripted struct {
-	mu    sync.Mutex
-	words []string
-	asked []string
-	ended chan struct{}
+// scriptedEndpoints simulates the endpoints beside this node. Each send takes the next behaviour; the sends and how
+// they ended are recorded.
+type scriptedEndpoints struct {
+	mu         sync.Mutex
+	behaviours []string
+	sends      []string
+	ended      chan struct{}
 }
 
-// Serve implements Local: the sends take the words in their order, whichever endpoint they go to.
-func (s *scripted) Serve(ctx context.Context, d *peerpb.Dispatch, _ io.Reader, sink peer.Sink) *peerpb.End {
+// Serve implements Local. The sends take the behaviours in their order, whichever endpoint they go to.
+func (s *scriptedEndpoints) Serve(ctx context.Context, d *peerpb.Dispatch, _ io.Reader, sink peer.Sink) *peerpb.End {
 	s.mu.Lock()
-	word := "refuses"
-	if len(s.words) > 0 {
-		word, s.words = s.words[0], s.words[1:]
+	behaviour := "refuses"
+	if len(s.behaviours) > 0 {
+		behaviour, s.behaviours = s.behaviours[0], s.behaviours[1:]
 	}
 	s.mu.Unlock()
 	defer func() { s.ended <- struct{}{} }()
 	if d.GetTellDue() {
 		sink.Due(10 * time.Millisecond)
 	}
-	end := serveAs(ctx, word, sink)
+	end := serveAs(ctx, behaviour, sink)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.asked = append(s.asked, fmt.Sprintf("%s repeat=%v: %s", word, d.GetRepeat(), endName(end)))
+	s.sends = append(s.sends, fmt.Sprintf("%s repeat=%v: %s", behaviour, d.GetRepeat(), endName(end)))
 	return end
 }
 
-// endsBefore is how many endpoints have ended under any request.
-type endsBefore int
+// crashesBefore is the number of endpoints that crashed, the same for every request.
+type crashesBefore int
 
-// Ends implements Fatal.
-func (n endsBefore) Ends(poison.Content) int { return int(n) }
+// Ends implements CrashCounter.
+func (n crashesBefore) Ends(poison.Content) int { return int(n) }
 
 func endName(end *peerpb.End) string {
 	return strings.TrimSpace(strings.ToLower(strings.TrimPrefix(end.GetOutcome().String(), "OUTCOME_")) + " " + end.GetCode())
 }
 
-// plainEnds are the words of sends that end at once, without an answer.
-var plainEnds = map[string]*peerpb.End{
+// plainOutcomes are the behaviours that end a send at once, without an answer.
+var plainOutcomes = map[string]*peerpb.End{
 	"spent":   peer.NotRun(fault.RetryBudget, 0),
 	"refuses": peer.NotRun(fault.Busy, 0),
 	"ends":    peer.Unknown(fault.EndpointCut),
@@ -75,13 +76,13 @@
 	"barred":  peer.NotRun(fault.FatalRequest, 0),
 }
 
-func serveAs(ctx context.Context, word string, sink peer.Sink) *peerpb.End {
-	if end := plainEnds[word]; end != nil {
+func serveAs(ctx context.Context, behaviour string, sink peer.Sink) *peerpb.End {
+	if end := plainOutcomes[behaviour]; end != nil {
 		return proto.CloneOf(end)
 	}
-	switch word {
+	switch behaviour {
 	case "nags":
-		// The endpoint's node says once more that the answer is due, as it does when all that it has there is silent.
+		// The endpoint's node reports again that the answer is due, as it does when nothing there answers any more.
 		time.Sleep(100 * time.Millisecond)
 		sink.Due(0)
 		fallthrough
@@ -94,14 +95,14 @@
 	case "slow":
 		time.Sleep(50 * time.Millisecond)
 	case "breaks":
-		// An answer without a length is passed on as it comes.
+		// An answer without a length is passed on as it arrives.
 		if sink.Head(&peerpb.Head{Status: 200}, false) == nil && sink.Data([]byte("ha"), false) == nil {
 			time.Sleep(50 * time.Millisecond)
 		}
 		return peer.Unknown(fault.EndpointCut)
 	}
 	status := uint32(200)
-	if word == "fails" {
+	if behaviour == "fails" {
 		status = 500
 	}
 	if sink.Head(&peerpb.Head{Status: status, Headers: []*peerpb.Header{{Name: "Content-Length", Value: "2"}}}, true) != nil ||
@@ -112,12 +113,12 @@
 }
 
 // Settle implements Local.
-func (*scripted) Settle(*peerpb.Settle) {}
+func (*scriptedEndpoints) Settle(*peerpb.Settle) {}
 
 // Work implements Local.
-func (*scripted) Work(string) inflight.Work { return inflight.Work{} }
+func (*scriptedEndpoints) Work(string) inflight.Work { return inflight.Work{} }
 
-// fleet returns a state with a service of some endpoints, all beside this node, and a route to it.
+// fleet returns a table with one service, its endpoints, all beside this node, and a route to it.
 func fleet(t *testing.T, endpoints, attempts int) *table.State {
 	t.Helper()
 	row := func(kind table.Kind, key string, cells ...string) table.Row {
@@ -141,23 +142,25 @@
 	return s
 }
 
-// TestSecondSends runs the scenarios of testdata/hedge. Each request line gives the words of the sends in their order; it
-// prints the caller's status, and each send with what became of it.
+// TestHedgedSends runs the scenarios of testdata/hedge. Each request line lists the behaviours of the sends in their
+// order. The output is the caller's status, and each send with how it ended.
 //
-//	get|post [endpoints=N] [attempts=N] [ends=N] [unused=N]    so many endpoints have ended under the same request before; so many words
-//	                                                           are not to be used
-//	word word ...
-func TestSecondSends(t *testing.T) {
+//	get|post [endpoints=N] [attempts=N] [ends=N] [unused=N]
+//	behaviour behaviour ...
+//
+// ends is the number of endpoints that crashed under the same request before, unused the number of behaviours that must
+// not be used.
+func TestHedgedSends(t *testing.T) {
 	datadriven.RunTest(t, "testdata/hedge", func(t *testing.T, d *datadriven.TestData) string {
-		endpoints, attempts, before, unused := 3, 2, 0, 0
+		endpoints, attempts, crashes, unused := 3, 2, 0, 0
 		d.MaybeScanArgs(t, "unused", &unused)
-		d.MaybeScanArgs(t, "ends", &before)
+		d.MaybeScanArgs(t, "ends", &crashes)
 		d.MaybeScanArgs(t, "endpoints", &endpoints)
 		d.MaybeScanArgs(t, "attempts", &attempts)
-		words := strings.Fields(d.Input)
-		local := &scripted{words: slices.Clone(words), ended: make(chan struct{}, 1000)}
+		behaviours := strings.Fields(d.Input)
+		local := &scriptedEndpoints{behaviours: slices.Clone(behaviours), ended: make(chan struct{}, 1000)}
 		g := ingressWith(t, fleet(t, endpoints, attempts), local)
-		g.fatal = endsBefore(before)
+		g.crashes = crashesBefore(crashes)
 		w := httptest.NewRecorder()
 		r := httptest.NewRequest(strings.ToUpper(d.Cmd), "http://desk.example/x", nil)
 		r.RequestURI = "/x"
@@ -165,22 +168,22 @@
 		defer cancel()
 		aborted := serveCaller(g, w, r.WithContext(ctx))
 		cancel()
-		for range words[unused:] {
+		for range behaviours[unused:] {
 			select {
 			case <-local.ended:
 			case <-time.After(5 * time.Second):
-				d.Fatalf(t, "not all words were used")
+				d.Fatalf(t, "not all behaviours were used")
 			}
 		}
 		local.mu.Lock()
 		defer local.mu.Unlock()
-		out := slices.Clone(local.asked[:min(len(words), len(local.asked))])
+		out := slices.Clone(local.sends[:min(len(behaviours), len(local.sends))])
 		slices.Sort(out)
 		return fmt.Sprintf("%d %q%s\n%s\n", w.Code, bodyOf(w), aborted, strings.Join(out, "\n"))
 	})
 }
 
-// serveCaller serves a request and tells whether its connection was broken off.
+// serveCaller serves a request and reports whether its connection was aborted.
 func serveCaller(g *Ingress, w http.ResponseWriter, r *http.Request) (aborted string) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -191,7 +194,7 @@
 	return ""
 }
 
-// bodyOf is an endpoint's answer as the caller got it, or the code of the system's own.
+// bodyOf returns an endpoint's answer as the caller received it, or the code of a refusal.
 func bodyOf(w *httptest.ResponseRecorder) string {
 	var p Problem
 	if json.Unmarshal(w.Body.Bytes(), &p) == nil {
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -27,25 +27,26 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// Config is the ingress's section of the settings.
+// Config configures an Ingress.
 type Config struct {
-	// Host is this node's host, Hall its hall.
+	// Host is this node's host, Hall that host's hall.
 	Host, Hall string
-	// Service is the service of the endpoint beside this node, which endpoints are told as a request's caller.
+	// Service is the service of the endpoint beside this node. Endpoints are told it as the caller of a request.
 	Service string
-	// Incarnation tells this process from earlier ones.
+	// Incarnation distinguishes this process from earlier ones on the same host.
 	Incarnation uint64
-	// Contract says how callers are spoken to; nil stands for the product's own.
+	// Contract encodes and decodes the headers exchanged with callers; nil stands for the product's own contract.
 	Contract contract.Contract
 }
 
-// Local runs a request at an endpoint beside this node.
+// Local runs requests at the endpoints beside this node.
 type Local interface {
 	// Serve runs the request and returns how it ended.
 	Serve(ctx context.Context, d *peerpb.Dispatch, body io.Reader, sink peer.Sink) *peerpb.End
-	// Settle notes how a claimed request ended elsewhere.
+	// Settle records how a claimed request ended at another host.
 	Settle(s *peerpb.Settle)
-	// Work tells of the work that the endpoints beside this node have, and of that for a request.
+	// Work returns the in-flight work of the endpoints beside this node, or only that for the named request if there is
+	// any.
 	Work(request string) inflight.Work
 }
 
@@ -61,28 +62,28 @@
 	limits   Limits
 	splits   *splits
 	settling inflight.Counter
-	// sent numbers this node's offers.
-	sent atomic.Uint64
-	// confirm asks the platform whether this node's configuration is the newest.
-	confirm func(ctx context.Context) bool
-	fatal   CrashCounter
-	clock   clock.Clock
-	// budget is what this node may hold of answers.
+	// exchangeCount numbers this node's offers.
+	exchangeCount atomic.Uint64
+	// configIsNewest asks the platform whether this node has the newest configuration.
+	configIsNewest func(ctx context.Context) bool
+	crashes        CrashCounter
+	clock          clock.Clock
+	// budget bounds the memory that held answers take.
 	budget   *memory.Budget
-	underWay underWay
+	inFlight inFlightRequests
 
-	mu      sync.Mutex
-	refused map[string]*refusals
-	routes  *routes
+	mu                sync.Mutex
+	refusalsByService map[string]*refusals
+	routeStats        *routeStats
 }
 
-// Limits keeps customers to what they may send.
+// Limits enforces the customers' rate limits.
 type Limits interface {
-	// Take lets one send of a customer pass, else tells when one should.
+	// Take grants one send of a customer, or returns after what time to retry.
 	Take(ctx context.Context, customer string) (ratelimit.Pass, time.Duration, bool)
 }
 
-// unlimited lets everything pass.
+// unlimited grants every send.
 type unlimited struct{}
 
 // Take implements Limits.
@@ -90,39 +91,40 @@
 	return ratelimit.Pass{}, 0, true
 }
 
-// WithLimits has customers kept to their limits.
+// WithLimits enforces the customers' rate limits with l.
 func WithLimits(l Limits) Option { return func(g *Ingress) { g.limits = l } }
 
-// Fatal tells what is known of requests under which endpoints ended.
+// CrashCounter counts the endpoints that crashed, by the request that they were running.
 type CrashCounter interface {
-	// Ends returns how many endpoints ended under a content.
+	// Ends returns how many endpoints crashed while they ran requests with a fingerprint.
 	Ends(c poison.Content) int
 }
 
-// harmless knows of no such request.
-type harmless struct{}
+// noCrashes counts no crashes.
+type noCrashes struct{}
 
-// Ends implements Fatal.
-func (harmless) Ends(poison.Content) int { return 0 }
+// Ends implements CrashCounter.
+func (noCrashes) Ends(poison.Content) int { return 0 }
 
-// WithFatal has requests that end endpoints refused.
-func WithCrashCounter(f CrashCounter) Option { return func(g *Ingress) { g.fatal = f } }
+// WithCrashCounter refuses requests under which too many endpoints crashed, as counted by c.
+func WithCrashCounter(c CrashCounter) Option { return func(g *Ingress) { g.crashes = c } }
 
-// WithClock replaces the clock that counts the time in which the host is suspended.
+// WithClock replaces the clock that measures how long the host was suspended.
 func WithClock(c clock.Clock) Option { return func(g *Ingress) { g.clock = c } }
 
-// WithBudget has what is held of answers counted in b.
+// WithBudget counts the memory of held answers against b.
 func WithBudget(b *memory.Budget) Option { return func(g *Ingress) { g.budget = b } }
 
-// defaultBudget is the budget of an ingress that is given none, in bytes.
+// defaultBudget is the memory budget, in bytes, of an ingress without WithBudget.
 const defaultBudget = 64 << 20
 
-// Option changes an ingress under construction.
+// Option configures an Ingress.
 type Option func(*Ingress)
 
-// WithConfirm has an unknown route told as such only after f has said that the configuration in force is the newest.
+// WithNewestConfigCheck has f asked before a route or a customer key is refused as unknown: f reports whether the
+// active configuration is the newest.
 func WithNewestConfigCheck(f func(ctx context.Context) bool) Option {
-	return func(g *Ingress) { g.confirm = f }
+	return func(g *Ingress) { g.configIsNewest = f }
 }
 
 // New returns an ingress.
@@ -135,8 +137,8 @@
 	}
 	g := &Ingress{
 		cfg: cfg, log: log, snapshot: snapshot, director: d, links: links, local: local, metrics: m,
-		limits: unlimited{}, fatal: harmless{}, clock: clock.Boot, splits: newSplits(), refused: make(map[string]*refusals), routes: newRoutes(),
-		confirm: func(context.Context) bool { return true }, budget: memory.New(defaultBudget),
+		limits: unlimited{}, crashes: noCrashes{}, clock: clock.Boot, splits: newSplits(), refusalsByService: make(map[string]*refusals), routeStats: newRouteStats(),
+		configIsNewest: func(context.Context) bool { return true }, budget: memory.New(defaultBudget),
 	}
 	for _, opt := range opts {
 		opt(g)
@@ -144,26 +146,26 @@
 	return g
 }
 
-// Start is part of the component's interface; the listener feeds the ingress.
+// Start implements kernel.Component; requests come from the callers' listener.
 func (g *Ingress) Start(context.Context) error { return nil }
 
-// Stop waits until the outcomes of claimed requests have been told to their keys' homes.
+// Stop waits until the outcomes of claimed requests were reported to their keys' owners.
 func (g *Ingress) Stop(ctx context.Context) error {
 	return g.settling.Wait(ctx, "ingress")
 }
 
-// Payer returns the customer of a request by what its header says, "" for none that is known.
+// CustomerOf returns the customer that a request's header names or whose key it has, "" if there is none.
 func (g *Ingress) CustomerOf(h http.Header) string {
 	s := g.snapshot().State
 	if !s.KeysWanted() {
-		say, _ := g.cfg.Contract.Call(h)
-		return say.Customer
+		decoded, _ := g.cfg.Contract.Call(h)
+		return decoded.Customer
 	}
-	holder, _ := s.Holder(table.DigestKey(contract.TokenOf(h).Key))
-	return holder.Key
+	customer, _ := s.Holder(table.DigestKey(contract.TokenOf(h).Key))
+	return customer.Key
 }
 
-// ServeHTTP serves one caller's request.
+// ServeHTTP implements http.Handler.
 func (g *Ingress) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	start := time.Now()
 	snap := g.snapshot()
@@ -171,46 +173,46 @@
 		g.refuseEarly(w, r, "", peer.NotRun(fault.NotReady, time.Second), "the node holds no configuration yet")
 		return
 	}
-	c, bad := g.parse(snap, r)
-	if bad != nil && (bad.Code == fault.UnknownRoute || bad.Code == fault.UnknownToken) {
-		c, bad = g.parseAgain(r, c)
+	c, failure := g.parse(snap, r)
+	if failure != nil && (failure.Code == fault.UnknownRoute || failure.Code == fault.UnknownToken) {
+		c, failure = g.reparse(r, c)
 	}
-	if bad != nil {
-		events.RequestRefused.Log(g.log).Str("request", c.id).Str("code", string(bad.Code)).
-			Str("where", bad.Where).Uint64("config", snap.State.Revisions()[table.PlaneConfig]).Send()
-		g.refuseEarly(w, r, c.id, peer.NotRun(bad.Code, 0), bad.Detail)
+	if failure != nil {
+		events.RequestRefused.Log(g.log).Str("request", c.id).Str("code", string(failure.Code)).
+			Str("where", failure.Where).Uint64("config", snap.State.Revisions()[table.PlaneConfig]).Send()
+		g.refuseEarly(w, r, c.id, peer.NotRun(failure.Code, 0), failure.Detail)
 		return
 	}
-	class := g.metrics.Service(c.service.Key)
+	serviceMetrics := g.metrics.Service(c.service.Key)
 	end := g.serve(w, r, c)
-	class.Count(contract.OutcomeName(end.GetOutcome()), end.GetCode())
+	serviceMetrics.Count(contract.OutcomeName(end.GetOutcome()), end.GetCode())
 	elapsed := time.Since(start)
-	class.Latency.RecordDuration(elapsed)
-	g.metrics.Customer(cmp.Or(c.customer, nobody)).RecordDuration(elapsed)
+	serviceMetrics.Latency.RecordDuration(elapsed)
+	g.metrics.Customer(cmp.Or(c.customer, noCustomer)).RecordDuration(elapsed)
 	if end.GetOutcome() == peerpb.Outcome_OUTCOME_RAN && !end.GetComplete() {
-		// The answer was cut: break the connection, so that it cannot look whole.
+		// The answer broke off: close the connection, so that the caller cannot take it for complete.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// nobody stands in the metrics for callers that bear no customer's key.
-const nobody = "none"
+// noCustomer is the metrics label of requests without a known customer.
+const noCustomer = "none"
 
-// confirmLimit bounds the question whether the configuration in force is the newest.
-const confirmLimit = 250 * time.Millisecond
+// confirmTimeout bounds the query whether the active configuration is the newest.
+const confirmTimeout = 250 * time.Millisecond
 
-// parseAgain looks once more for a route or a key that the configuration in force does not have: one that the platform has
-// accepted meanwhile must not be told as unknown.
-func (g *Ingress) parseAgain(r *http.Request, c call) (call, *fault.Error) {
-	ctx, cancel := context.WithTimeout(r.Context(), confirmLimit)
+// reparse parses the request again after it named a route or a customer key that the active configuration does not
+// have: one that the platform has accepted in the meantime must not be refused as unknown.
+func (g *Ingress) reparse(r *http.Request, c call) (call, *fault.Error) {
+	ctx, cancel := context.WithTimeout(r.Context(), confirmTimeout)
 	defer cancel()
-	if !g.confirm(ctx) {
+	if !g.configIsNewest(ctx) {
 		return c, fault.New(fault.NotReady, "", "whether the route and the key exist cannot be told now")
 	}
 	return g.parse(g.snapshot(), r)
 }
 
-// refuseEarly answers a request for which no endpoint and no key's home was asked.
+// refuseEarly answers a request that was refused before any endpoint or owner of its key was asked.
 func (g *Ingress) refuseEarly(w http.ResponseWriter, r *http.Request, id string, end *peerpb.End, detail string) {
 	end.Outcome = refusedOutcome(g.cfg.Contract, r.Header)
 	refuse(w, g.cfg.Contract, id, end, detail)
@@ -225,34 +227,34 @@
 		g.refuseEarly(w, r, c.id, end, details[fault.CustomerLimit])
 		return end
 	}
-	body, err := takeBody(r)
+	body, err := readBody(r)
 	if err != nil {
 		pass.Return()
 		end := peer.NotRun(err.Code, 0)
 		g.refuseEarly(w, r, c.id, end, err.Detail)
 		return end
 	}
-	c.content = poison.ContentOf(c.customer, c.method, c.route.Value.Host, c.target, body.head)
-	if g.fatal.Ends(c.content) >= poison.BarAfter {
+	c.fingerprint = poison.ContentOf(c.customer, c.method, c.route.Value.Host, c.target, body.data)
+	if g.crashes.Ends(c.fingerprint) >= poison.BarAfter {
 		pass.Return()
 		end := peer.NotRun(fault.FatalRequest, 0)
 		events.RequestRefused.Log(g.log).Str("request", c.id).Str("code", end.GetCode()).Str("service", c.service.Key).
-			Stringer("content", c.content).Send()
+			Stringer("content", c.fingerprint).Send()
 		g.refuseEarly(w, r, c.id, end, details[fault.FatalRequest])
 		return end
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), c.timeout)
 	defer cancel()
-	x := &exchange{g: g, start: time.Now(), watch: g.clock.Begin(), call: c, body: body, winner: new(winner), pass: pass, paid: true}
+	x := &exchange{g: g, start: time.Now(), stopwatch: g.clock.Begin(), call: c, body: body, winner: new(winner), pass: pass, hasPass: true}
 	x.answer = newAnswer(w, c, g.cfg.Contract, x.winner)
 	x.answer.progress = &x.progress
-	x.holdFor(x.answer)
-	defer x.free()
-	g.underWay.add(x)
-	defer g.underWay.remove(x)
+	x.trackMemory(x.answer)
+	defer x.freeHolds()
+	g.inFlight.add(x)
+	defer g.inFlight.remove(x)
 	x.refusals = g.refusals(c.service.Key)
 	end := x.run(ctx)
-	if x.paid {
+	if x.hasPass {
 		x.pass.Return()
 	}
 	x.log(end)
--- a/ingress/inplace_test.go
+++ b/ingress/inplace_test.go
@@ -15,8 +15,9 @@
 	"github.com/lynxplank/lynxplank/peer"
 )
 
-// restarted stands for hosts all of whose endpoints have been started anew, under names that only their nodes know.
-type restarted struct {
+// restartedEndpoints simulates hosts whose endpoints have all been restarted, under names that only their own nodes
+// know.
+type restartedEndpoints struct {
 	mu    sync.Mutex
 	asked []string
 	// exchanges are the numbers of the offers, which must all differ.
@@ -24,7 +25,7 @@
 }
 
 // Serve implements Local.
-func (r *restarted) Serve(ctx context.Context, d *peerpb.Dispatch, _ io.Reader, sink peer.Sink) *peerpb.End {
+func (r *restartedEndpoints) Serve(ctx context.Context, d *peerpb.Dispatch, _ io.Reader, sink peer.Sink) *peerpb.End {
 	r.mu.Lock()
 	r.asked = append(r.asked, d.GetEndpoint())
 	r.exchanges = append(r.exchanges, d.GetExchange())
@@ -38,17 +39,18 @@
 }
 
 // Settle implements Local.
-func (*restarted) Settle(*peerpb.Settle) {}
+func (*restartedEndpoints) Settle(*peerpb.Settle) {}
 
 // Work implements Local.
-func (*restarted) Work(string) inflight.Work { return inflight.Work{} }
+func (*restartedEndpoints) Work(string) inflight.Work { return inflight.Work{} }
 
-// TestEndpointInPlaceIsAskedAtOnce sends requests that may and may not repeat to a fleet that has just come back: each is served
-// by the endpoint that stands where the asked one stood, at the first try, under an exchange of its own.
-func TestEndpointInPlaceIsAskedAtOnce(t *testing.T) {
+// TestReplacementEndpointIsAskedAtOnce sends repeatable and non-repeatable requests to a fleet that has just restarted.
+// Each must be served by the endpoint that took the place of the requested one, at the first try, under an exchange
+// number of its own.
+func TestReplacementEndpointIsAskedAtOnce(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
 		t.Run(method, func(t *testing.T) {
-			local := &restarted{}
+			local := &restartedEndpoints{}
 			g := ingressWith(t, fleet(t, 3, 1), local)
 			w := httptest.NewRecorder()
 			r := httptest.NewRequest(method, "http://desk.example/x", nil)
--- a/ingress/keyed.go
+++ b/ingress/keyed.go
@@ -14,54 +14,55 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// A key has two homes. The first decides; the second takes first attempts, marked as such by the caller, while the
-// first cannot be reached. A first attempt runs where one of them remembers the whole window; a re-send must be granted
-// by the first and found clean by both, so that it meets whatever an earlier attempt did. A caller that marks no
-// attempts is always taken to re-send, and has the first home only.
+// An idempotency key has two owners. The first decides. The second takes first attempts, which the caller marks as
+// such, while the first cannot be reached. A first attempt runs where one owner remembers the whole key window. A
+// resend must be granted by the first owner, and neither owner may know of an earlier run, so that it finds the result
+// of any earlier attempt. A request without an attempt number is always treated as a resend, and only the first owner
+// is asked for it.
 
 // runKeyed runs a request under its idempotency key.
 //
-// Invariant: the request is handed to an endpoint only under a grant of one of the key's homes.
+// Invariant: the request is dispatched to an endpoint only under a grant of one of the key's owners.
 func (x *exchange) runKeyed(ctx context.Context) *peerpb.End {
 	id := dedupe.ID{Scope: x.call.scope(), Key: x.call.key}
-	homes := x.homes(id)
-	if len(homes) == 0 {
+	owners := x.owners(id)
+	if len(owners) == 0 {
 		return peer.NotRun(fault.NoEndpoint, 0)
 	}
 	switch {
-	case x.call.attempt == 0 || len(homes) == 1:
-		return x.keyedTruth(x.runAtHome(ctx, homes[0], false))
+	case x.call.attempt == 0 || len(owners) == 1:
+		return x.withKeyedOutcome(x.runAtOwner(ctx, owners[0], false))
 	case x.call.attempt == 1:
-		return x.firstAttempt(ctx, homes)
+		return x.runFirstAttempt(ctx, owners)
 	}
-	if end := x.fenceAll(ctx, homes); end != nil {
+	if end := x.fenceAll(ctx, owners); end != nil {
 		return end
 	}
-	return x.keyedTruth(x.runAtHome(ctx, homes[0], false))
+	return x.withKeyedOutcome(x.runAtOwner(ctx, owners[0], false))
 }
 
-// firstAttempt runs at the first home, with the second one's word if the first remembers too little, and at the second
-// home if the first cannot be reached.
-func (x *exchange) firstAttempt(ctx context.Context, homes []table.Entry[table.Endpoint]) *peerpb.End {
-	end := x.runAtHome(ctx, homes[0], false)
-	if !outOfReach(end) {
+// runFirstAttempt runs the request at the first owner. If the first owner remembers too little, the second owner must
+// confirm that it knows of no run; if the first owner cannot be reached, the request runs at the second.
+func (x *exchange) runFirstAttempt(ctx context.Context, owners []table.Entry[table.Endpoint]) *peerpb.End {
+	end := x.runAtOwner(ctx, owners[0], false)
+	if !ownerUnreachable(end) {
 		return end
 	}
 	if fault.Code(end.GetCode()) != fault.KeyRefused {
-		return x.runAtHome(ctx, homes[1], false)
+		return x.runAtOwner(ctx, owners[1], false)
 	}
-	word := x.ask(ctx, homes[1], x.claim(true, true))
-	switch word.GetOutcome() {
+	fenced := x.requestClaim(ctx, owners[1], x.claim(true, true))
+	switch fenced.GetOutcome() {
 	case peerpb.Outcome_OUTCOME_CLAIMED:
-		return x.runAtHome(ctx, homes[0], true)
+		return x.runAtOwner(ctx, owners[0], true)
 	case peerpb.Outcome_OUTCOME_RAN:
-		return word
+		return fenced
 	default:
 		return end
 	}
 }
 
-func (x *exchange) homes(id dedupe.ID) []table.Entry[table.Endpoint] {
+func (x *exchange) owners(id dedupe.ID) []table.Entry[table.Endpoint] {
 	snap := x.g.snapshot()
 	view, _ := snap.State.Service(x.call.service.Key)
 	names := keyowner.Homes(keyowner.Names(view, func(e table.Endpoint) bool {
@@ -75,24 +76,25 @@
 	return out
 }
 
-// outOfReach tells that a home gave no verdict, and that nothing ran.
-func outOfReach(end *peerpb.End) bool {
+// ownerUnreachable reports whether an owner could not decide, and nothing ran.
+func ownerUnreachable(end *peerpb.End) bool {
 	code := fault.Code(end.GetCode())
 	unreachable := code == fault.LinkDown || code == fault.KeyRefused || code == fault.WrongHost ||
 		code == fault.EndpointMoved
 	return unreachable && end.GetOutcome() == peerpb.Outcome_OUTCOME_NOT_RUN
 }
 
-// unasked tells that the request's time ran out, or its caller left, before a home was asked.
-func unasked(end *peerpb.End) bool {
+// ownerNotAsked reports whether the request timed out, or its caller left, before an owner was asked.
+func ownerNotAsked(end *peerpb.End) bool {
 	code := fault.Code(end.GetCode())
 	return end.GetOutcome() == peerpb.Outcome_OUTCOME_NOT_RUN &&
 		(code == fault.DeadlineExceeded || code == fault.Canceled || code == fault.Stopping)
 }
 
-// keyedTruth never tells of a request that may be a re-send that it was not run, unless a home knows.
-func (x *exchange) keyedTruth(end *peerpb.End) *peerpb.End {
-	if (outOfReach(end) || unasked(end)) && x.call.attempt != 1 {
+// withKeyedOutcome changes not run to unknown for a possible resend, unless an owner of the key knows that it did not
+// run.
+func (x *exchange) withKeyedOutcome(end *peerpb.End) *peerpb.End {
+	if (ownerUnreachable(end) || ownerNotAsked(end)) && x.call.attempt != 1 {
 		end.Outcome = peerpb.Outcome_OUTCOME_UNKNOWN
 	}
 	return end
@@ -101,61 +103,62 @@
 func (x *exchange) claim(fence, claimOnly bool) *peerpb.Claim {
 	return &peerpb.Claim{
 		Scope: x.call.scope(), Key: x.call.key, Attempt: x.call.attempt,
-		Fingerprint: x.call.fingerprint(x.body), ClaimOnly: claimOnly, Fence: fence,
+		Fingerprint: x.call.bodyHash(x.body), ClaimOnly: claimOnly, Fence: fence,
 		Regions: x.call.regions.Names(), Bound: x.call.regions.Bound(),
 	}
 }
 
-func vouch(c *peerpb.Claim, vouched bool) *peerpb.Claim {
+func withVouched(c *peerpb.Claim, vouched bool) *peerpb.Claim {
 	c.Vouched = vouched
 	return c
 }
 
-// fenceAll asks every home of a re-send; nil means that none knows of a run, each would know, and none will let a
-// late first attempt through. A home that holds the answer settles it, whatever the others say.
-func (x *exchange) fenceAll(ctx context.Context, homes []table.Entry[table.Endpoint]) *peerpb.End {
-	var doubt *peerpb.End
-	for _, home := range homes {
-		end := x.ask(ctx, home, x.claim(true, true))
+// fenceAll asks every owner of a resend's key. nil means that no owner knows of a run, that each would know of one, and
+// that none will grant a late first attempt any more. If an owner has the answer, that answer is returned, whatever the
+// others report.
+func (x *exchange) fenceAll(ctx context.Context, owners []table.Entry[table.Endpoint]) *peerpb.End {
+	var unresolved *peerpb.End
+	for _, owner := range owners {
+		end := x.requestClaim(ctx, owner, x.claim(true, true))
 		switch end.GetOutcome() {
 		case peerpb.Outcome_OUTCOME_CLAIMED:
 		case peerpb.Outcome_OUTCOME_RAN:
 			return end
 		default:
-			doubt = x.keyedTruth(end)
+			unresolved = x.withKeyedOutcome(end)
 		}
 	}
-	return doubt
+	return unresolved
 }
 
-// ask brings a claim to a home without a wish to run there.
-func (x *exchange) ask(ctx context.Context, home table.Entry[table.Endpoint], c *peerpb.Claim) *peerpb.End {
-	d := x.dispatch(ctx, director.Pick{Endpoint: home}, c)
+// requestClaim sends a claim to an owner without having the request run there.
+func (x *exchange) requestClaim(ctx context.Context, owner table.Entry[table.Endpoint], c *peerpb.Claim) *peerpb.End {
+	d := x.buildDispatch(ctx, director.Pick{Endpoint: owner}, c)
 	d.BodyLength, d.Body = 0, nil
-	return x.deliver(ctx, home, d, x.answer)
+	return x.deliver(ctx, owner, d, x.answer)
 }
 
-// runAtHome runs the request at the home's own endpoint if that takes work, else elsewhere under the home's grant.
-func (x *exchange) runAtHome(ctx context.Context, home table.Entry[table.Endpoint], vouched bool) *peerpb.End {
-	wish := x.wish()
-	wish.Only = home.Key
-	pick, err := x.g.director.Pick(ctx, wish)
+// runAtOwner runs the request at the owner's own endpoint if it takes work, else elsewhere under the owner's grant.
+func (x *exchange) runAtOwner(ctx context.Context, owner table.Entry[table.Endpoint], vouched bool) *peerpb.End {
+	opts := x.pickOptions()
+	opts.Only = owner.Key
+	pick, err := x.g.director.Pick(ctx, opts)
 	if err == nil {
-		end := x.send(ctx, pick, vouch(x.claim(false, false), vouched), true)
-		if !refusedForLoad(end) || !x.again(ctx, pick, end) {
+		end := x.send(ctx, pick, withVouched(x.claim(false, false), vouched), true)
+		if !refusedForLoad(end) || !x.shouldRetry(ctx, pick, end) {
 			return end
 		}
 	}
-	end := x.ask(ctx, home, vouch(x.claim(false, true), vouched))
+	end := x.requestClaim(ctx, owner, withVouched(x.claim(false, true), vouched))
 	if end.GetOutcome() != peerpb.Outcome_OUTCOME_CLAIMED {
 		return end
 	}
 	end = x.runAnywhere(ctx)
-	x.settle(home, end)
+	x.settle(owner, end)
 	return end
 }
 
-// refusedForLoad tells that the home granted the key but its endpoint did not take the work.
+// refusedForLoad reports whether the owner granted the key but its endpoint did not take the work.
 func refusedForLoad(end *peerpb.End) bool {
 	switch fault.Code(end.GetCode()) {
 	case fault.Overloaded, fault.DeadlineTooShort, fault.Draining, fault.Evacuated, fault.EndpointShed,
@@ -167,15 +170,16 @@
 
 const settleTimeout = 2 * time.Second
 
-// settle tells the home how the request ended elsewhere. If that fails, the home takes the fate for unknown in time.
-func (x *exchange) settle(home table.Entry[table.Endpoint], end *peerpb.End) {
+// settle reports to the owner how the request ended elsewhere. If that fails, the owner treats the outcome as unknown
+// after some time.
+func (x *exchange) settle(owner table.Entry[table.Endpoint], end *peerpb.End) {
 	msg := &peerpb.Settle{Scope: x.call.scope(), Key: x.call.key, Outcome: end.GetOutcome()}
 	msg.Head, msg.Body = x.answer.record(end)
-	if home.Value.Host == x.g.cfg.Host {
+	if owner.Value.Host == x.g.cfg.Host {
 		x.g.local.Settle(msg)
 		return
 	}
-	host, ok := x.g.snapshot().ByID[home.Value.Host]
+	host, ok := x.g.snapshot().ByID[owner.Value.Host]
 	if !ok {
 		return
 	}
--- a/ingress/keys_test.go
+++ b/ingress/keys_test.go
@@ -20,23 +20,23 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// keyed is a node whose configuration changes, with an endpoint that tells what it was told.
-type keyed struct {
+// keyedNode is a node whose configuration changes, with an endpoint that records the dispatches it gets.
+type keyedNode struct {
 	t     *testing.T
 	g     *Ingress
 	state *table.State
-	// newest is the configuration that the platform holds, nil while it does not answer.
+	// newest is the configuration that the platform has, nil while it does not answer.
 	newest *table.State
-	// arriving runs when an endpoint is asked, before it answers.
-	arriving func()
-	told     []string
+	// onArrival runs when an endpoint is asked, before it answers.
+	onArrival  func()
+	dispatched []string
 }
 
 // Serve implements Local.
-func (k *keyed) Serve(ctx context.Context, d *peerpb.Dispatch, _ io.Reader, sink peer.Sink) *peerpb.End {
-	if k.arriving != nil {
-		k.arriving()
-		k.arriving = nil
+func (k *keyedNode) Serve(ctx context.Context, d *peerpb.Dispatch, _ io.Reader, sink peer.Sink) *peerpb.End {
+	if k.onArrival != nil {
+		k.onArrival()
+		k.onArrival = nil
 	}
 	if revision := k.state.Revision(); d.GetRevision() < revision {
 		return peer.NotRun(fault.Stale, 0)
@@ -45,25 +45,25 @@
 	if d.GetKeyed() {
 		name = d.GetCustomer()
 	}
-	told := []string{fmt.Sprintf("%s rank %d", name, d.GetPriority())}
+	received := []string{fmt.Sprintf("%s rank %d", name, d.GetPriority())}
 	for _, h := range d.GetHeaders() {
 		if h.GetName() != "X-Forwarded-For" {
-			told = append(told, h.GetName()+"="+h.GetValue())
+			received = append(received, h.GetName()+"="+h.GetValue())
 		}
 	}
-	slices.Sort(told[1:])
-	k.told = append(k.told, strings.Join(told, " "))
+	slices.Sort(received[1:])
+	k.dispatched = append(k.dispatched, strings.Join(received, " "))
 	return serveAs(ctx, "ok", sink)
 }
 
 // Settle implements Local.
-func (*keyed) Settle(*peerpb.Settle) {}
+func (*keyedNode) Settle(*peerpb.Settle) {}
 
 // Work implements Local.
-func (*keyed) Work(string) inflight.Work { return inflight.Work{} }
+func (*keyedNode) Work(string) inflight.Work { return inflight.Work{} }
 
-// rows reads lines of "KIND KEY COLUMN=VALUE ..." or "KIND KEY -".
-func (k *keyed) rows(lines string, from *table.State) *table.State {
+// rows parses lines of "KIND KEY COLUMN=VALUE ..." or "KIND KEY -".
+func (k *keyedNode) rows(lines string, from *table.State) *table.State {
 	d := table.Delta{From: from.Revision(), To: from.Revision() + 1}
 	for line := range strings.Lines(lines) {
 		words := strings.Fields(line)
@@ -82,8 +82,8 @@
 	return next
 }
 
-// row reads the words of one line.
-func (k *keyed) row(sheet table.Sheet, words []string) table.Row {
+// row parses the words of one line.
+func (k *keyedNode) row(sheet table.Sheet, words []string) table.Row {
 	cells := make([]string, len(sheet.Columns))
 	for _, word := range words[2:] {
 		name, value, ok := strings.Cut(word, "=")
@@ -103,15 +103,17 @@
 	return row
 }
 
-// TestKeys runs testdata/keys. Commands:
+// TestCustomerKeys runs testdata/keys. Commands:
 //
-//	rows        changes what is in force, and what the platform holds
-//	accepted    changes what the platform holds alone
-//	away        the platform does not answer from now on
-//	request [path=P] [changes]    a request with header lines; what the platform holds comes in force as the endpoint is asked
+//	rows
+//	accepted
+//	away
+//	request [path=P] [changes]
 //
-// It prints the status and code, and what the endpoint was told.
-func TestKeys(t *testing.T) {
+// rows changes the active configuration and the platform's, accepted only the platform's. After away, the platform does
+// not answer. request sends a request with header lines; with changes, the platform's configuration becomes active when
+// the endpoint is asked. The output is the status and code, and what the endpoint received.
+func TestCustomerKeys(t *testing.T) {
 	k := newKeyed(t)
 	datadriven.RunTest(t, "testdata/keys", func(t *testing.T, d *datadriven.TestData) string {
 		switch d.Cmd {
@@ -131,12 +133,12 @@
 	})
 }
 
-func newKeyed(t *testing.T) *keyed {
-	k := &keyed{t: t, state: fleet(t, 1, 1)}
+func newKeyed(t *testing.T) *keyedNode {
+	k := &keyedNode{t: t, state: fleet(t, 1, 1)}
 	k.newest = k.state
 	k.g = ingressWith(t, k.state, k)
 	k.g.snapshot = func() *configsync.Snapshot { return &configsync.Snapshot{State: k.state, Ready: true} }
-	k.g.confirm = func(context.Context) bool {
+	k.g.configIsNewest = func(context.Context) bool {
 		if k.newest == nil {
 			return false
 		}
@@ -146,13 +148,13 @@
 	return k
 }
 
-func (k *keyed) request(d *datadriven.TestData) string {
+func (k *keyedNode) request(d *datadriven.TestData) string {
 	path := "/x"
 	d.MaybeScanArgs(k.t, "path", &path)
 	if d.HasArg("changes") {
-		k.arriving = func() { k.state = k.newest }
+		k.onArrival = func() { k.state = k.newest }
 	}
-	k.told = nil
+	k.dispatched = nil
 	w := httptest.NewRecorder()
 	r := httptest.NewRequest(http.MethodGet, "http://desk.example"+path, nil)
 	r.RequestURI = path
@@ -166,15 +168,16 @@
 		code, _, _ := strings.Cut(rest, `"`)
 		out += " " + code
 	}
-	if len(k.told) > 0 {
-		out += ", endpoint told: " + strings.Join(k.told, "; ")
+	if len(k.dispatched) > 0 {
+		out += ", endpoint told: " + strings.Join(k.dispatched, "; ")
 	}
 	return out + "\n"
 }
 
-// TestLostKeyLeavesTheCall takes the key of a request away while it is under way: it cannot be brought to the newer configuration, and
-// whatever is still sent for it keeps its customer's name. A second send once went out as nobody's.
-func TestLostKeyLeavesTheCall(t *testing.T) {
+// TestRemovedKeyKeepsCallUnchanged removes the key of a request that is in flight. The request cannot be updated to the
+// newer configuration, and whatever is still sent for it keeps its customer's name. A hedge was once sent without a
+// customer.
+func TestRemovedKeyKeepsCallUnchanged(t *testing.T) {
 	k := newKeyed(t)
 	k.state = k.rows("listener callers keys=yes\ncustomer acme keys=plain:k1", k.state)
 	r := httptest.NewRequest(http.MethodGet, "http://desk.example/x", nil)
@@ -186,10 +189,10 @@
 	}
 	k.state = k.rows("customer acme keys=plain:k2", k.state)
 	x := &exchange{g: k.g, call: c}
-	if got, want := x.adopt(), false; got != want {
-		t.Errorf("brought to a configuration without its key: got %v, want %v", got, want)
+	if got, want := x.adoptConfig(), false; got != want {
+		t.Errorf("adopted a configuration without its key: got %v, want %v", got, want)
 	}
-	if x.call.customer != "acme" || !x.call.keyed || x.call.revision != c.revision {
-		t.Errorf("call: got customer %q, keyed %v, revision %d, want it as it was", x.call.customer, x.call.keyed, x.call.revision)
+	if x.call.customer != "acme" || !x.call.hasCustomerKey || x.call.revision != c.revision {
+		t.Errorf("call: got customer %q, keyed %v, revision %d, want it as it was", x.call.customer, x.call.hasCustomerKey, x.call.revision)
 	}
 }
--- a/ingress/lastresort.go
+++ b/ingress/lastresort.go
@@ -10,59 +10,60 @@
 )
 
 const (
-	// suspectPause is the wait between two rounds over endpoints that all take only trials, and mostSuspect how long a
-	// request waits so at most: such endpoints have mostly recovered within a second.
-	suspectPause = 40 * time.Millisecond
-	mostSuspect  = time.Second
-	// suspectShare is the part of a request's aim that it waits so at most, as one in so many: what is left then still suffices
-	// for the work, and who is refused learns it while there is time to come back.
-	suspectShare = 4
-	// mostLast bounds the endpoints that are asked as a last resort.
-	mostLast = 3
+	// suspectInterval is the wait between two rounds over endpoints that all take only trials. maxSuspectWait bounds
+	// the total of these waits: most such endpoints recover within a second.
+	suspectInterval = 40 * time.Millisecond
+	maxSuspectWait  = time.Second
+	// suspectWaitDivisor limits that wait to one part in so many of the latency target, so that enough time remains for
+	// the work, and a refused caller still has time to retry.
+	suspectWaitDivisor = 4
+	// maxLastResortTries bounds the endpoints that are asked as a last resort.
+	maxLastResortTries = 3
 )
 
-// pickSuspect chooses among endpoints that all take only trials. The request waits for one of them to show that it works
-// again, round by round; when its time grows short it goes to one all the same.
+// pickSuspect chooses among endpoints that all take only trials. The request waits, round by round, for one of them to
+// recover; when its time runs short it goes to one of them regardless.
 func (x *exchange) pickSuspect(ctx context.Context) (director.Pick, bool, error) {
 	now := time.Now()
 	if x.suspectSince.IsZero() {
 		x.suspectSince = now
 	}
-	if now.Sub(x.suspectSince) >= x.patience(ctx) {
+	if now.Sub(x.suspectSince) >= x.suspectWait(ctx) {
 		x.lastResort = true
 		return x.pickLast(ctx)
 	}
 	select {
 	case <-ctx.Done():
 		return director.Pick{}, false, fault.New(fault.Suspect, x.call.service.Key, "every endpoint takes only trials")
-	case <-time.After(suspectPause):
+	case <-time.After(suspectInterval):
 	}
-	x.offers, x.far, x.waits, x.declined, x.suspects = 0, 0, 0, nil, nil
+	x.offers, x.remoteOffers, x.waits, x.declined, x.suspects = 0, 0, 0, nil, nil
 	return x.pick(ctx)
 }
 
-// patience is how long the request waits for one of the endpoints to recover.
-func (x *exchange) patience(ctx context.Context) time.Duration {
+// suspectWait is how long the request waits for one of the endpoints to recover.
+func (x *exchange) suspectWait(ctx context.Context) time.Duration {
 	deadline, _ := ctx.Deadline()
-	patience := min(mostSuspect, deadline.Sub(x.suspectSince)/2)
-	if aim := x.aim(); aim > 0 {
-		patience = min(patience, aim/suspectShare)
+	wait := min(maxSuspectWait, deadline.Sub(x.suspectSince)/2)
+	if target := x.latencyTarget(); target > 0 {
+		wait = min(wait, target/suspectWaitDivisor)
 	}
-	return patience
+	return wait
 }
 
-// pickLast chooses among the endpoints under suspicion for a request that nobody else takes. What must not repeat runs
-// only where most trials went well: elsewhere its caller would mostly learn that it may have run, and nothing more.
+// pickLast chooses among the suspected endpoints for a request that no other endpoint takes. A request that is not
+// repeatable runs only where most trials succeeded: elsewhere its caller would in most cases only learn that it may
+// have run.
 func (x *exchange) pickLast(ctx context.Context) (director.Pick, bool, error) {
-	if x.lasts++; x.lasts > mostLast {
-		return director.Pick{}, true, fault.New(fault.Suspect, x.call.service.Key, "the endpoints fail most of their work")
+	if x.lastResortTries++; x.lastResortTries > maxLastResortTries {
+		return director.Pick{}, true, fault.New(fault.Suspect, x.call.service.Key, "no endpoint took the request as a last resort")
 	}
-	wish := x.wish()
+	opts := x.pickOptions()
 	for _, key := range x.declined {
 		if !slices.Contains(x.suspects, key) {
-			wish.Tried = append(slices.Clone(wish.Tried), key)
+			opts.Tried = append(slices.Clone(opts.Tried), key)
 		}
 	}
-	pick, err := x.g.director.Pick(ctx, wish)
+	pick, err := x.g.director.Pick(ctx, opts)
 	return pick, true, err
 }
--- a/ingress/late.go
+++ b/ingress/late.go
@@ -4,36 +4,36 @@
 	"sync"
 )
 
-// lateWatch notes whether the send under way is overdue. The word comes from a timer or from a link, at any moment, and
-// counts for the send that is under way then.
-type lateWatch struct {
-	mu   sync.Mutex
-	tell func()
-	late bool
+// lateNotifier records whether the current send is overdue. Reports come from a timer or a link at any time and apply
+// to the send that is current then.
+type lateNotifier struct {
+	mu     sync.Mutex
+	notify func()
+	late   bool
 }
 
-// begin starts a send, of which tell is called when it is overdue.
-func (w *lateWatch) begin(tell func()) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.tell, w.late = tell, false
+// begin starts a send; notify is called when it is overdue.
+func (n *lateNotifier) begin(notify func()) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.notify, n.late = notify, false
 }
 
-// end ends a send and returns whether it was overdue; what is told later is dropped.
-func (w *lateWatch) end() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.tell = nil
-	return w.late
+// end ends the send and returns whether it was overdue. Later reports are dropped.
+func (n *lateNotifier) end() bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.notify = nil
+	return n.late
 }
 
-// note tells that the send under way is overdue; without one it does nothing.
-func (w *lateWatch) note() {
-	w.mu.Lock()
-	tell := w.tell
-	w.late = w.late || tell != nil
-	w.mu.Unlock()
-	if tell != nil {
-		tell()
+// note reports that the current send is overdue. It does nothing between sends.
+func (n *lateNotifier) note() {
+	n.mu.Lock()
+	notify := n.notify
+	n.late = n.late || notify != nil
+	n.mu.Unlock()
+	if notify != nil {
+		notify()
 	}
 }
--- a/ingress/late_test.go
+++ b/ingress/late_test.go
@@ -5,27 +5,27 @@
 	"testing"
 )
 
-// TestLateWordOfAnEarlierSend checks that a word which comes after its send has ended counts for no send.
-func TestLateWordOfAnEarlierSend(t *testing.T) {
-	var w lateWatch
-	told := 0
-	w.begin(func() { told++ })
-	w.note()
-	if got, want := w.end(), true; got != want {
+// TestLateReportOfEarlierSend checks that a report which arrives after its send has ended applies to no send.
+func TestLateReportOfEarlierSend(t *testing.T) {
+	var n lateNotifier
+	notified := 0
+	n.begin(func() { notified++ })
+	n.note()
+	if got, want := n.end(), true; got != want {
 		t.Errorf("overdue: got %v, want %v", got, want)
 	}
-	w.note()
-	w.begin(func() { told++ })
-	if got, want := w.end(), false; got != want {
+	n.note()
+	n.begin(func() { notified++ })
+	if got, want := n.end(), false; got != want {
 		t.Errorf("next send: got %v, want %v", got, want)
 	}
-	if got, want := told, 1; got != want {
-		t.Errorf("told: got %d times, want %d", got, want)
+	if got, want := notified, 1; got != want {
+		t.Errorf("notified: got %d times, want %d", got, want)
 	}
 }
 
-// TestLateWordAtAnyMoment lets timers tell of sends that begin and end meanwhile; the race detector judges.
-func TestLateWordAtAnyMoment(*testing.T) {
+// TestLateReportsConcurrently reports sends as late while they begin and end, for the race detector.
+func TestLateReportsConcurrently(*testing.T) {
 	a := &answer{}
 	var wg sync.WaitGroup
 	for range 4 {
--- a/ingress/progress.go
+++ b/ingress/progress.go
@@ -13,7 +13,8 @@
 
 // The stages.
 const (
-	// StageWaiting is a request that no endpoint has: one is chosen or asked for a slot, or another send may follow.
+	// StageWaiting is a request that no endpoint has: an endpoint is being picked or asked for a slot, or a retry may
+	// follow.
 	StageWaiting Stage = "waiting"
 	// StageRunning is a request that an endpoint may be working on.
 	StageRunning Stage = "running"
@@ -21,104 +22,107 @@
 	StageAnswering Stage = "answering"
 )
 
-// Request is one that is under way at this node.
+// Request describes an in-flight request of this node.
 type Request struct {
-	// ID is the caller's or the node's own.
+	// ID is the id that the caller or the node gave the request.
 	ID string
-	// Stage is how far it has come, Endpoint the one that had it last, "" for none.
+	// Stage is how far the request has come, Endpoint the endpoint that had it last, "" for none.
 	Stage    Stage
 	Endpoint string
-	// After is how long ago it came.
+	// Age is the time since the request arrived.
 	Age time.Duration
 }
 
-// progress is how far one request has come, for whoever stops the node.
+// progress tracks how far one request has come, for a planned stop of the node.
 //
-// Invariant: once it is closed, no endpoint gets the request.
+// Invariant: once it is closed, the request is dispatched to no endpoint.
 type progress struct {
 	mu sync.Mutex
 	// running counts the sends that endpoints may be working on.
-	running  int
-	begun    bool
-	endpoint string
-	closed   bool
-	// waits are what of the request waits and may end early: by its send, nil for the choice of an endpoint.
-	waits map[*answer]context.CancelFunc
-	// lost are the sends whose answers can be asked for again: those under a key, and those whose links broke.
-	lost map[*answer]context.CancelFunc
-}
-
-// wait returns a context for a part of the request that ends with its close, until an endpoint gets it; done has to be called.
-func (p *progress) wait(ctx context.Context, send *answer) (waiting context.Context, done func()) {
+	running   int
+	answering bool
+	endpoint  string
+	closed    bool
+	// cancelWaits cancels the waits that may end early, by send; the key is nil for the pick of an endpoint.
+	cancelWaits map[*answer]context.CancelFunc
+	// cancelRecoveries cancels the wait for answers that can be asked for again: those under a key, and those whose
+	// links broke.
+	cancelRecoveries map[*answer]context.CancelFunc
+}
+
+// untilDispatch returns a context for a send, or for the pick of an endpoint, that close cancels unless the send was
+// dispatched before. done must be called.
+func (p *progress) untilDispatch(ctx context.Context, send *answer) (waiting context.Context, done func()) {
 	waiting, cancel := context.WithCancel(ctx)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
 		cancel()
 	}
-	hold(&p.waits, send, cancel)
+	addCancel(&p.cancelWaits, send, cancel)
 	return waiting, func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		cancel()
-		delete(p.waits, send)
+		delete(p.cancelWaits, send)
 	}
 }
 
-// ask returns a context for a send whose answer can be asked for again; done has to be called.
-func (p *progress) ask(ctx context.Context, send *answer) (asking context.Context, done func()) {
-	asking, cancel := context.WithCancel(ctx)
+// whileRecoverable returns a context for a send whose answer can be asked for again; abandonRecoverable cancels it.
+// done must be called.
+func (p *progress) whileRecoverable(ctx context.Context, send *answer) (recoverable context.Context, done func()) {
+	recoverable, cancel := context.WithCancel(ctx)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	hold(&p.lost, send, cancel)
-	return asking, func() {
+	addCancel(&p.cancelRecoveries, send, cancel)
+	return recoverable, func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		cancel()
-		delete(p.lost, send)
+		delete(p.cancelRecoveries, send)
 	}
 }
 
-func hold(m *map[*answer]context.CancelFunc, send *answer, cancel context.CancelFunc) {
+func addCancel(m *map[*answer]context.CancelFunc, send *answer, cancel context.CancelFunc) {
 	if *m == nil {
 		*m = make(map[*answer]context.CancelFunc)
 	}
 	(*m)[send] = cancel
 }
 
-// handOver notes that an endpoint is about to get a send, and tells whether it may.
-func (p *progress) handOver(send *answer) bool {
+// beginDispatch records that a send is about to be dispatched and reports whether that is allowed.
+func (p *progress) beginDispatch(send *answer) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
 		return false
 	}
-	delete(p.waits, send)
+	delete(p.cancelWaits, send)
 	p.running++
 	p.endpoint = send.endpoint
 	return true
 }
 
-// returned notes that a send which was handed over has ended.
-func (p *progress) returned() {
+// endDispatch records that a dispatched send has ended.
+func (p *progress) endDispatch() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.running--
 }
 
-// begin notes that an answer begins to go to the caller.
-func (p *progress) begin() {
+// beginAnswer records that an answer begins to go to the caller.
+func (p *progress) beginAnswer() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.begun = true
+	p.answering = true
 }
 
-// close keeps the request from endpoints from now on; what of it waits ends.
+// close prevents any dispatch of the request from now on and cancels its waits.
 func (p *progress) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
-	for _, cancel := range p.waits {
+	for _, cancel := range p.cancelWaits {
 		cancel()
 	}
 }
@@ -129,14 +133,15 @@
 	return p.closed
 }
 
-// giveUpLost ends the waiting for answers that callers can ask for again, or whose links broke, unless one has begun to go to the caller.
-func (p *progress) giveUpLost() {
+// abandonRecoverable stops waiting for answers that callers can ask for again, or whose links broke, unless one has
+// begun to go to the caller.
+func (p *progress) abandonRecoverable() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.begun {
+	if p.answering {
 		return
 	}
-	for _, cancel := range p.lost {
+	for _, cancel := range p.cancelRecoveries {
 		cancel()
 	}
 }
@@ -146,7 +151,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
-	case p.begun:
+	case p.answering:
 		return StageAnswering, p.endpoint
 	case p.running > 0:
 		return StageRunning, p.endpoint
@@ -154,76 +159,77 @@
 	return StageWaiting, p.endpoint
 }
 
-// leastWork is the least time that a hand-over leaves for the work and its answer before the node has to end.
-const leastWork = 100 * time.Millisecond
+// minWorkTime is the least time that a dispatch must leave for the work and its answer before the node ends.
+const minWorkTime = 100 * time.Millisecond
 
-// underWay holds the requests that are under way.
-type underWay struct {
+// inFlightRequests holds the requests that are in flight.
+type inFlightRequests struct {
 	mu  sync.Mutex
 	all map[*exchange]struct{}
-	// until is when the node may end, the zero time while it is not stopping.
-	until time.Time
+	// stopAt is when the node may end, the zero time while it is not stopping.
+	stopAt time.Time
 }
 
-func (u *underWay) add(x *exchange) {
+func (u *inFlightRequests) add(x *exchange) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.all == nil {
 		u.all = make(map[*exchange]struct{})
 	}
 	u.all[x] = struct{}{}
-	if !u.until.IsZero() {
-		x.closeFor(u.until)
+	if !u.stopAt.IsZero() {
+		x.closeBefore(u.stopAt)
 	}
 }
 
-func (u *underWay) remove(x *exchange) {
+func (u *inFlightRequests) remove(x *exchange) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	delete(u.all, x)
-	if x.closing != nil {
-		x.closing.Stop()
+	if x.closeTimer != nil {
+		x.closeTimer.Stop()
 	}
 }
 
-// closeFor keeps the request from endpoints once ordinary work could no longer end before the node may.
-func (x *exchange) closeFor(end time.Time) {
-	work := x.g.routes.ordinary(x.call.route.Key, x.aim())
-	left := time.Until(end) - max(work, leastWork)
+// closeBefore closes the request's progress when too little time for typical work is left before end.
+func (x *exchange) closeBefore(end time.Time) {
+	work := x.g.routeStats.typicalTime(x.call.route.Key, x.latencyTarget())
+	left := time.Until(end) - max(work, minWorkTime)
 	if left <= 0 {
 		x.progress.close()
 		return
 	}
-	x.closing = time.AfterFunc(left, x.progress.close)
+	x.closeTimer = time.AfterFunc(left, x.progress.close)
 }
 
-// HandOverUntil has each request that no endpoint has refused as not run while that can still be told, given when the node may end at the
-// earliest. An endpoint that got it later would mostly see it cut, and another node can still serve it.
+// StopDispatchBefore prepares for the node's end, which comes at end or later. A request that no endpoint has is
+// refused as not run when a dispatch would come too late to finish: the work would usually be cut off, and another node
+// can still serve the request.
 func (g *Ingress) StopDispatchBefore(end time.Time) {
-	g.underWay.mu.Lock()
-	defer g.underWay.mu.Unlock()
-	g.underWay.until = end
-	for x := range g.underWay.all {
-		x.closeFor(end)
+	g.inFlight.mu.Lock()
+	defer g.inFlight.mu.Unlock()
+	g.inFlight.stopAt = end
+	for x := range g.inFlight.all {
+		x.closeBefore(end)
 	}
 }
 
-// GiveUpLost has callers told at once that the fate of their requests is unknown where no answer has come so far and the end of the node ends no
-// work: under a key, and where a link broke after the hand-over.
+// AbandonRecoverable reports the outcome unknown, at once, to callers whose answer has not begun and whose work goes on
+// when the node ends: requests under a key, and requests whose link broke after the dispatch.
 func (g *Ingress) AbandonRecoverable() {
-	g.underWay.mu.Lock()
-	defer g.underWay.mu.Unlock()
-	for x := range g.underWay.all {
-		x.progress.giveUpLost()
+	g.inFlight.mu.Lock()
+	defer g.inFlight.mu.Unlock()
+	for x := range g.inFlight.all {
+		x.progress.abandonRecoverable()
 	}
 }
 
-// UnderWay returns the requests that are under way, the oldest first.
+// InFlight returns the in-flight requests, the oldest first.
 func (g *Ingress) InFlight() []Request {
-	g.underWay.mu.Lock()
-	defer g.underWay.mu.Unlock()
-	out := make([]Request, 0, len(g.underWay.all))
-	for x := range g.underWay.all {
+	g.inFlight.mu.Lock()
+	defer g.inFlight.mu.Unlock()
+	out := make([]Request, 0, len(g.inFlight.all))
+	for x := range g.inFlight.all {
 		stage, endpoint := x.progress.stage()
 		out = append(out, Request{ID: x.call.id, Stage: stage, Endpoint: endpoint, Age: time.Since(x.start)})
 	}
--- a/ingress/recover.go
+++ b/ingress/recover.go
@@ -10,29 +10,29 @@
 )
 
 const (
-	// mostRelays is how many other nodes are asked for the answer in one round.
-	mostRelays = 3
-	// recoverPause is the wait between two rounds.
-	recoverPause = 50 * time.Millisecond
+	// maxRelays is how many other nodes are asked for the answer in one round.
+	maxRelays = 3
+	// recoverInterval is the wait between two rounds.
+	recoverInterval = 50 * time.Millisecond
 )
 
-// recover asks for the answer of a request that was handed over and whose link broke: by a new link, else by way of
-// nodes that may still reach the endpoint's. The endpoint's node runs nothing twice; it keeps the answer until the
-// request's deadline. What cannot be learned until then stays unknown.
+// recover asks for the answer of a request that was dispatched and whose link broke: over a new link, or through nodes
+// that may still reach the endpoint's node. The endpoint's node runs nothing twice; it keeps the answer until the
+// request's deadline. If the answer cannot be had by then, the outcome stays unknown.
 func (x *exchange) recover(ctx context.Context, host table.HostInfo, exchange uint64, end *peerpb.End) *peerpb.End {
 	if x.answer.started {
 		return end
 	}
 	start := time.Now()
-	ctx, done := x.progress.ask(ctx, x.answer)
+	ctx, done := x.progress.whileRecoverable(ctx, x.answer)
 	defer done()
-	for lost(end) && ctx.Err() == nil && !x.answer.started {
-		if end = x.fetchOnce(ctx, host, exchange, end); !lost(end) {
+	for linkLost(end) && ctx.Err() == nil && !x.answer.started {
+		if end = x.fetchOnce(ctx, host, exchange, end); !linkLost(end) {
 			break
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(recoverPause):
+		case <-time.After(recoverInterval):
 		}
 	}
 	events.AnswerRecovered.Log(x.g.log).Str("request", x.call.id).Str("host", host.ID).
@@ -40,14 +40,14 @@
 	return end
 }
 
-// fetchOnce tries each way once.
+// fetchOnce tries a new link and each relay once.
 func (x *exchange) fetchOnce(ctx context.Context, host table.HostInfo, exchange uint64, end *peerpb.End) *peerpb.End {
 	x.answer.reset()
-	renew, cancel := context.WithTimeout(ctx, linkLimit)
+	renew, cancel := context.WithTimeout(ctx, linkTimeout)
 	s, err := x.g.links.Renew(renew, host.Address)
 	cancel()
 	if err == nil {
-		if end = s.Fetch(ctx, exchange, x.answer); !lost(end) {
+		if end = s.Fetch(ctx, exchange, x.answer); !linkLost(end) {
 			return end
 		}
 	}
@@ -60,34 +60,34 @@
 			continue
 		}
 		x.answer.reset()
-		if end = s.FetchVia(ctx, host.Address, exchange, x.answer); !lost(end) {
+		if end = s.FetchVia(ctx, host.Address, exchange, x.answer); !linkLost(end) {
 			return end
 		}
 	}
 	return end
 }
 
-// mayPass tells whether the request's data may pass through a host of a hall: in a region where it may be, or in this one, from where its
-// caller came.
-func (x *exchange) mayPass(hall string) bool {
+// mayRelayVia reports whether the request's data may pass through a host of a hall: one in an allowed region, or in
+// this node's own region, where the caller's data came from.
+func (x *exchange) mayRelayVia(hall string) bool {
 	snap := x.g.snapshot()
 	where := snap.RegionOf(hall)
 	return x.call.regions.Allows(where) || where != "" && where == snap.RegionOf(x.g.cfg.Hall)
 }
 
-// relays returns some nodes that this one reaches, those of the endpoint's hall first.
+// relays returns up to maxRelays nodes that this node can reach, those of the endpoint's hall first.
 func (x *exchange) relays(host table.HostInfo) []table.HostInfo {
-	var near, far []table.HostInfo
+	var sameHall, otherHalls []table.HostInfo
 	for _, h := range x.g.snapshot().Hosts {
-		if h.ID == host.ID || h.ID == x.g.cfg.Host || !x.mayPass(h.Hall) || !x.g.links.Linked(h.Address) || !x.g.links.Usable(h.Address) {
+		if h.ID == host.ID || h.ID == x.g.cfg.Host || !x.mayRelayVia(h.Hall) || !x.g.links.Linked(h.Address) || !x.g.links.Usable(h.Address) {
 			continue
 		}
 		if h.Hall == host.Hall {
-			near = append(near, h)
+			sameHall = append(sameHall, h)
 		} else {
-			far = append(far, h)
+			otherHalls = append(otherHalls, h)
 		}
 	}
-	all := append(near, far...)
-	return all[:min(mostRelays, len(all))]
+	relays := append(sameHall, otherHalls...)
+	return relays[:min(maxRelays, len(relays))]
 }
--- a/ingress/refusals.go
+++ b/ingress/refusals.go
@@ -6,25 +6,25 @@
 	"github.com/lynxplank/lynxplank/retry"
 )
 
-// refusals is the memory of how much a service refuses, with its lock.
+// refusals tracks the share of refusals of one service, with its lock.
 type refusals struct {
 	mu sync.Mutex
 	retry.Refusals
 }
 
-// refusals returns the memory of a service's refusals.
+// refusals returns the tracker of a service's refusals.
 func (g *Ingress) refusals(service string) *refusals {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	r := g.refused[service]
+	r := g.refusalsByService[service]
 	if r == nil {
 		r = new(refusals)
-		g.refused[service] = r
+		g.refusalsByService[service] = r
 	}
 	return r
 }
 
-// decide notes whether an attempt met overload and tells whether another may follow.
+// decide records whether an attempt met overload and reports whether another may follow.
 func (r *refusals) decide(a retry.Attempt) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -32,7 +32,7 @@
 	return r.Decide(a)
 }
 
-// refusing tells whether the service turns most of its work away.
+// refusing reports whether the service refuses most of its work.
 func (r *refusals) refusing() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/ingress/refuse.go
+++ b/ingress/refuse.go
@@ -10,7 +10,7 @@
 	"github.com/lynxplank/lynxplank/gen/peerpb"
 )
 
-// Problem is the JSON body of every answer that the system itself gives.
+// Problem is the JSON body of every answer that this system generates itself.
 type Problem struct {
 	// Code is the stable name of the failure.
 	Code fault.Code `json:"code"`
@@ -20,11 +20,11 @@
 	Detail string `json:"detail"`
 	// RequestID identifies the request in logs.
 	RequestID string `json:"request_id,omitempty"`
-	// RetryAfterMillis is when to come back, if that can help.
+	// RetryAfterMillis is when to retry, 0 if a retry cannot help.
 	RetryAfterMillis int64 `json:"retry_after_ms,omitempty"`
 }
 
-// statusOf is the status of the codes that have one of their own.
+// statusOf maps codes to HTTP statuses; status covers the other codes.
 var statusOf = map[fault.Code]int{
 	fault.BadRequest:       http.StatusBadRequest,
 	fault.BadDeadline:      http.StatusBadRequest,
@@ -36,11 +36,11 @@
 	fault.KeyInProgress:    http.StatusConflict,
 	fault.KeyUnknown:       http.StatusConflict,
 	fault.DeadlineExceeded: http.StatusGatewayTimeout,
-	// Neither 503, which invites callers and what stands before them to come back, nor 4xx, which would be a word on what was asked for.
+	// Not 503, which invites callers and proxies before them to retry, nor 4xx, which would blame the request itself.
 	fault.FatalRequest: http.StatusInternalServerError,
 }
 
-// status is the HTTP status by which callers are told of an end.
+// status returns the HTTP status that reports an end to the caller.
 func status(end *peerpb.End) int {
 	if s := statusOf[fault.Code(end.GetCode())]; s != 0 {
 		return s
@@ -51,45 +51,46 @@
 	return http.StatusBadGateway
 }
 
-// RefuseUnread answers a request that the callers' listener does not take; its header is nil where it could not be read.
-func RefuseUnread(say contract.Contract) func(w http.ResponseWriter, h http.Header, status int, err *fault.Error) {
+// RefuseUnread returns a handler that answers requests which the callers' listener does not take. The header is nil if
+// it could not be read.
+func RefuseUnread(ct contract.Contract) func(w http.ResponseWriter, h http.Header, status int, err *fault.Error) {
 	return func(w http.ResponseWriter, h http.Header, status int, err *fault.Error) {
-		o := contract.Outcome{Outcome: refusedOutcome(say, h)}
+		o := contract.Outcome{Outcome: refusedOutcome(ct, h)}
 		if status == http.StatusServiceUnavailable {
-			// Another node takes it at once.
+			// The caller can retry at another node at once.
 			o.RetryAfter = elsewhereRetryAfter
 		}
-		writeProblem(w, say, status, o, Problem{
+		writeProblem(w, ct, status, o, Problem{
 			Code: err.Code, Outcome: contract.OutcomeName(o.Outcome), Detail: err.Detail,
 		})
 	}
 }
 
-// writeProblem writes an answer that the system itself gives.
-func writeProblem(w http.ResponseWriter, say contract.Contract, status int, o contract.Outcome, p Problem) {
+// writeProblem writes an answer that this system generates itself.
+func writeProblem(w http.ResponseWriter, ct contract.Contract, status int, o contract.Outcome, p Problem) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
-	say.Outcome(h, o)
+	ct.Outcome(h, o)
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(p)
 }
 
-// refusedOutcome is what is known of a request that was refused before its key's homes were asked.
+// refusedOutcome returns the outcome of a request that was refused before the owners of its key were asked.
 //
-// Invariant: a request that may be a re-send is not told as not run on the word of a node that knows nothing of its key.
-func refusedOutcome(say contract.Contract, h http.Header) peerpb.Outcome {
+// Invariant: a possible resend is not reported as not run by a node that knows nothing of its key.
+func refusedOutcome(ct contract.Contract, h http.Header) peerpb.Outcome {
 	if h == nil {
 		return peerpb.Outcome_OUTCOME_NOT_RUN
 	}
-	call, _ := say.Call(h)
+	call, _ := ct.Call(h)
 	if call.Key != "" && call.Attempt != 1 {
 		return peerpb.Outcome_OUTCOME_UNKNOWN
 	}
 	return peerpb.Outcome_OUTCOME_NOT_RUN
 }
 
-// refuse gives the system's own final answer, at once.
-func refuse(w http.ResponseWriter, say contract.Contract, id string, end *peerpb.End, detail string) {
+// refuse writes the final answer of a request that this system answers itself.
+func refuse(w http.ResponseWriter, ct contract.Contract, id string, end *peerpb.End, detail string) {
 	p := Problem{
 		Code: fault.Code(end.GetCode()), Outcome: contract.OutcomeName(end.GetOutcome()), Detail: detail,
 		RequestID: id, RetryAfterMillis: end.GetRetryAfterMillis(),
@@ -98,19 +99,19 @@
 	if p.RetryAfterMillis == 0 && code == http.StatusServiceUnavailable {
 		p.RetryAfterMillis = defaultRetryAfter.Milliseconds()
 	}
-	writeProblem(w, say, code, contract.Outcome{
+	writeProblem(w, ct, code, contract.Outcome{
 		ID: id, Outcome: end.GetOutcome(), RetryAfter: time.Duration(p.RetryAfterMillis) * time.Millisecond,
 	}, p)
 }
 
 const (
-	// defaultRetryAfter is when to come back where nothing says more.
+	// defaultRetryAfter is the retry delay of a 503 that states none.
 	defaultRetryAfter = time.Second
-	// elsewhereRetryAfter is when to come back with a request that only this node does not take.
+	// elsewhereRetryAfter is the retry delay of a request that another node can take at once.
 	elsewhereRetryAfter = 50 * time.Millisecond
 )
 
-// details are the sentences for people, by code.
+// details are the sentences that callers receive, by code.
 var details = map[fault.Code]string{
 	fault.UnknownToken:        "no customer holds the caller's key any more",
 	fault.CustomerLimit:       "the customer sends more than its limit",
--- a/ingress/refuse_test.go
+++ b/ingress/refuse_test.go
@@ -14,8 +14,8 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// TestRefusedResendIsUnknown has a node that knows nothing of a key's earlier sends refuse a payment: what may be a
-// re-send is told as unknown, because an earlier send may have run, and only a first attempt as not run.
+// TestRefusedResendIsUnknown has a node that knows nothing of a key's earlier attempts refuse a payment. A possible
+// resend must be reported as unknown, because an earlier attempt may have run; only a first attempt is not run.
 func TestRefusedResendIsUnknown(t *testing.T) {
 	log := zerolog.Nop()
 	notReady := func() *configsync.Snapshot { return &configsync.Snapshot{State: table.NewState()} }
--- a/ingress/regions_test.go
+++ b/ingress/regions_test.go
@@ -8,8 +8,9 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// TestRelaysAreInAllowedRegions checks by which halls an answer may be asked for again: those in a region where the request's data may be, and
-// those of the region from which its caller came; where nobody says where a hall is, it is neither.
+// TestRelaysAreInAllowedRegions checks through which halls an answer may be fetched: those in a region where the
+// request's data may be, and those in the region that its caller's data came from. A hall without a known region is
+// neither.
 func TestRelaysAreInAllowedRegions(t *testing.T) {
 	var rows []table.Row
 	for hall, where := range map[string]string{"own": "near", "neighbour": "near", "home": "far", "other": "beyond"} {
@@ -30,8 +31,8 @@
 	} {
 		x.call.regions = region.Any.With(c.bound)
 		for hall, want := range c.want {
-			if got := x.mayPass(hall); got != want {
-				t.Errorf("data of %v by hall %s: got %v, want %v", c.bound, hall, got, want)
+			if got := x.mayRelayVia(hall); got != want {
+				t.Errorf("data bound to %v through hall %s: got %v, want %v", c.bound, hall, got, want)
 			}
 		}
 	}
--- a/ingress/routes.go
+++ b/ingress/routes.go
@@ -10,78 +10,79 @@
 )
 
 const (
-	// mostRoutes bounds the routes whose work is remembered, about 100 bytes each.
-	mostRoutes = 512
-	// sizeMemory is the weight of the newest request in a route's usual size.
-	sizeMemory = 0.1
-	// aimPart is the part of its aim that work takes as long as nothing better is known, as one in so many.
-	aimPart = 3
-	// half is the share of work that takes less than its usual time.
-	half = 0.5
+	// maxRoutes bounds the routes that are tracked, at about 100 bytes each.
+	maxRoutes = 512
+	// sizeSmoothing is the weight of the newest request in a route's average size.
+	sizeSmoothing = 0.1
+	// latencyTargetDivisor is the assumed ratio of latency target to work time on a route without samples.
+	latencyTargetDivisor = 3
+	// median is the quantile of the usual work time.
+	median = 0.5
 )
 
-// routes remembers what this node has seen of the work that it sends, by route.
-type routes struct {
+// routeStats tracks, by route, the requests that arrive at this node and the work that it sends to endpoints.
+type routeStats struct {
 	mu sync.Mutex
-	// times are the times of the work, sizes the bytes of request and answer together.
-	times *latency.Kinds
-	sizes *simplelru.LRU[string, float64]
-	seen  *simplelru.LRU[string, arrivals]
+	// times models the time of the work; sizes averages the bytes of request and answer together.
+	times    *latency.Kinds
+	sizes    *simplelru.LRU[string, float64]
+	arrivals *simplelru.LRU[string, arrivals]
 }
 
-func newRoutes() *routes {
-	return &routes{times: latency.NewKinds(), sizes: newMemory[float64](), seen: newMemory[arrivals]()}
+func newRouteStats() *routeStats {
+	return &routeStats{times: latency.NewKinds(), sizes: newRouteCache[float64](), arrivals: newRouteCache[arrivals]()}
 }
 
-// newMemory returns a bounded map by route.
-func newMemory[T any]() *simplelru.LRU[string, T] {
-	m, err := simplelru.NewLRU[string, T](mostRoutes, nil)
+// newRouteCache returns a map by route that is bounded by maxRoutes.
+func newRouteCache[T any]() *simplelru.LRU[string, T] {
+	m, err := simplelru.NewLRU[string, T](maxRoutes, nil)
 	if err != nil {
-		// It fails for a size below one only.
+		// NewLRU fails only for a size below one.
 		panic(err)
 	}
 	return m
 }
 
-// source counts a request and tells who uses its route.
-func (r *routes) source(route string, idle bool) source {
+// countArrival counts a request and returns the origin of the route's requests.
+func (r *routeStats) countArrival(route string, idle bool) origin {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	seen, _ := r.seen.Get(route)
-	seen = seen.with(idle)
-	r.seen.Add(route, seen)
-	return seen.source()
+	counts, _ := r.arrivals.Get(route)
+	counts = counts.with(idle)
+	r.arrivals.Add(route, counts)
+	return counts.origin()
 }
 
-// note takes the time and the size of one served request.
-func (r *routes) note(route string, work time.Duration, bytes int) {
+// record records the work time and the size of one served request.
+func (r *routeStats) record(route string, work time.Duration, bytes int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.times.Note(route, work)
-	usual, ok := r.sizes.Get(route)
+	average, ok := r.sizes.Get(route)
 	if !ok {
-		usual = float64(bytes)
+		average = float64(bytes)
 	}
-	r.sizes.Add(route, usual+(float64(bytes)-usual)*sizeMemory)
+	r.sizes.Add(route, average+(float64(bytes)-average)*sizeSmoothing)
 }
 
-// usual returns the usual time of a route's work, a part of its aim while that is not known.
-func (r *routes) usual(route string, aim time.Duration) time.Duration {
+// medianTime returns the median work time of a route, or a part of the latency target while there are too few samples.
+func (r *routeStats) medianTime(route string, target time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.times.Of(route, aim/aimPart).Quantile(half)
+	return r.times.Of(route, target/latencyTargetDivisor).Quantile(median)
 }
 
-// ordinary returns the time that suffices for most of a route's work, a part of its aim while that is not known.
-func (r *routes) ordinary(route string, aim time.Duration) time.Duration {
+// typicalTime returns the time that suffices for most of a route's work, or a part of the latency target while there
+// are too few samples.
+func (r *routeStats) typicalTime(route string, target time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.times.Of(route, aim/aimPart).Quantile(usualShare)
+	return r.times.Of(route, target/latencyTargetDivisor).Quantile(workQuantile)
 }
 
-// patience returns how long a request with so much time left to its aim waits for a slot in its own hall, so that its
-// bytes need not go to another: longer the more bytes it moves, and never so long that its work could not be in time.
-func (r *routes) patience(route string, left time.Duration) time.Duration {
+// hallWait returns how long a request, with left to its latency target, waits for a slot in its own hall to save
+// traffic between halls. The wait grows with the bytes that the route moves, and leaves enough time for the work.
+func (r *routeStats) hallWait(route string, left time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	model := r.times.Of(route, 0)
@@ -89,6 +90,6 @@
 	if !ok || !model.Known() {
 		return 0
 	}
-	spare := left - model.Quantile(usualShare)
-	return max(0, time.Duration(patientShare*size/(size+patientSize)*float64(spare)))
+	slack := left - model.Quantile(workQuantile)
+	return max(0, time.Duration(maxHallWaitShare*size/(size+halfWaitSize)*float64(slack)))
 }
--- a/ingress/split.go
+++ b/ingress/split.go
@@ -7,21 +7,22 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// mostSplits bounds the routes whose shares are remembered.
+// maxSplits bounds the routes whose shares are tracked.
 const (
-	mostSplits = 10000
-	// mostSteps is about one round of weights in per cent.
-	mostSteps = 100
+	maxSplits = 10000
+	// maxInitialSteps is about one round of weights in percent.
+	maxInitialSteps = 100
 )
 
-// splits shares each split route's requests among its services. Each node counts for itself: of any number of its
-// requests, a service gets its share to within one or two, and so the fleet's shares hold without agreement.
+// splits divides the requests of each split route among its services. Each node counts on its own: of any number of
+// requests at a node, each service gets its share to within one or two, so the shares of the whole fleet hold without
+// coordination.
 type splits struct {
 	mu      sync.Mutex
 	byRoute map[string]*shares
 }
 
-// shares is how far each part of a split is behind its share.
+// shares holds, for each part of a split, how far it is behind its share.
 type shares struct {
 	parts  []table.Part
 	credit []float64
@@ -29,19 +30,19 @@
 
 func newSplits() *splits { return &splits{byRoute: make(map[string]*shares)} }
 
-// choose returns the service of a route's next request (smooth weighted round-robin).
+// choose returns the service for a route's next request, by smooth weighted round-robin.
 func (s *splits) choose(route string, parts []table.Part) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h := s.byRoute[route]
-	if h == nil || !sameParts(h.parts, parts) {
-		if len(s.byRoute) >= mostSplits {
+	sh := s.byRoute[route]
+	if sh == nil || !sameParts(sh.parts, parts) {
+		if len(s.byRoute) >= maxSplits {
 			clear(s.byRoute)
 		}
-		h = newShares(parts)
-		s.byRoute[route] = h
+		sh = newShares(parts)
+		s.byRoute[route] = sh
 	}
-	return h.next()
+	return sh.next()
 }
 
 func sameParts(a, b []table.Part) bool {
@@ -56,25 +57,25 @@
 	return true
 }
 
-// newShares starts at a random place of the round: nodes that all began at the same one would send their first requests
-// to the same service.
+// newShares starts at a random position of the round: otherwise nodes that start together would send their first
+// requests to the same service.
 func newShares(parts []table.Part) *shares {
-	h := &shares{parts: parts, credit: make([]float64, len(parts))}
-	for range rand.IntN(mostSteps) { //nolint:gosec // spreads the nodes, no secret
-		h.next()
+	sh := &shares{parts: parts, credit: make([]float64, len(parts))}
+	for range rand.IntN(maxInitialSteps) { //nolint:gosec // spreads the nodes, no secret
+		sh.next()
 	}
-	return h
+	return sh
 }
 
-func (h *shares) next() string {
+func (sh *shares) next() string {
 	total, best := 0.0, 0
-	for i, p := range h.parts {
-		h.credit[i] += p.Weight
+	for i, p := range sh.parts {
+		sh.credit[i] += p.Weight
 		total += p.Weight
-		if h.credit[i] > h.credit[best] {
+		if sh.credit[i] > sh.credit[best] {
 			best = i
 		}
 	}
-	h.credit[best] -= total
-	return h.parts[best].Service
+	sh.credit[best] -= total
+	return sh.parts[best].Service
 }
--- a/ingress/split_test.go
+++ b/ingress/split_test.go
@@ -9,9 +9,9 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// TestSharesHold checks that of any number of requests through any number of nodes each part of a split gets its share
-// to within a few requests a node.
-func TestSharesHold(t *testing.T) {
+// TestSplitSharesHold checks that of any number of requests through any number of nodes, each part of a split gets its
+// share to within a few requests a node.
+func TestSplitSharesHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.IntRange(1, 100), 2, 4).Draw(t, "weights")
 		parts := make([]table.Part, 0, len(weights))
@@ -38,8 +38,8 @@
 	})
 }
 
-// TestChangedSplitStartsAnew checks that new weights hold from the first request on.
-func TestChangedSplitStartsAnew(t *testing.T) {
+// TestChangedSplitTakesEffectAtOnce checks that new weights apply from the first request on.
+func TestChangedSplitTakesEffectAtOnce(t *testing.T) {
 	s := newSplits()
 	for range 50 {
 		s.choose("r", []table.Part{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}})
--- a/ingress/stale.go
+++ b/ingress/stale.go
@@ -10,66 +10,68 @@
 )
 
 const (
-	// staleWait is how long a request waits for the configuration by which an endpoint's node has refused it: about what
-	// a change takes from node to node.
-	staleWait = 300 * time.Millisecond
-	// staleLook is the time between two looks at the configuration in force meanwhile.
-	staleLook = 5 * time.Millisecond
+	// staleTimeout is how long a request waits for the newer configuration that an endpoint's node already has: about
+	// the time that a change takes to spread from node to node.
+	staleTimeout = 300 * time.Millisecond
+	// stalePollInterval is the time between two looks at the active configuration meanwhile.
+	stalePollInterval = 5 * time.Millisecond
 )
 
-// current brings a request that was refused as going by an older configuration to the one in force here by now; false
-// when that no longer sends it to this service, or does not come.
-func (x *exchange) current(ctx context.Context, end *peerpb.End) bool {
+// refreshConfig updates a request that was refused because its configuration was outdated (Stale) to the active one,
+// and waits for a newer one first. It returns false if none arrives, or if the newer one no longer routes the request
+// to this service. Other ends return true.
+func (x *exchange) refreshConfig(ctx context.Context, end *peerpb.End) bool {
 	if fault.Code(end.GetCode()) != fault.Stale {
 		return true
 	}
-	ctx, cancel := context.WithTimeout(ctx, staleWait)
+	ctx, cancel := context.WithTimeout(ctx, staleTimeout)
 	defer cancel()
-	for !x.behind() {
+	for !x.newerConfigActive() {
 		select {
 		case <-ctx.Done():
 			return false
-		case <-time.After(staleLook):
+		case <-time.After(stalePollInterval):
 		}
 	}
-	if !x.adopt() {
-		if _, _, bad := x.call.holder(x.g.snapshot().State); bad != nil {
+	if !x.adoptConfig() {
+		if _, _, failure := x.call.findCustomer(x.g.snapshot().State); failure != nil {
 			end.Code = string(fault.UnknownToken)
 		}
 		return false
 	}
-	// The endpoint refused the configuration, not the request.
+	// The endpoint refused the configuration, not the request, so it may be tried again.
 	x.tried = x.tried[:len(x.tried)-1]
 	return true
 }
 
-// adopt brings the request to the configuration in force here now; false when that no longer sends it to its
-// service, or no longer holds its key.
-func (x *exchange) adopt() bool {
+// adoptConfig updates the request to the active configuration. It returns false if that no longer routes the request to
+// its service, or no longer has the caller's key.
+func (x *exchange) adoptConfig() bool {
 	snap := x.g.snapshot()
-	next, ok := matchCall(snap.State, &x.call)
-	if !ok || next.Key != x.call.route.Key || !sends(next.Value, x.call.service.Key) {
+	row, ok := matchCall(snap.State, &x.call)
+	if !ok || row.Key != x.call.route.Key || !routesTo(row.Value, x.call.service.Key) {
 		return false
 	}
-	// The call stays as it was where its key is gone or another's: what is still under way was sent under the name that it had.
-	customer, keyed, bad := x.call.holder(snap.State)
-	if bad != nil || customer != x.call.customer || keyed != x.call.keyed {
+	// If the key was removed or belongs to another customer now, the call stays unchanged: its running sends were sent
+	// under the old customer.
+	customer, hasKey, failure := x.call.findCustomer(snap.State)
+	if failure != nil || customer != x.call.customer || hasKey != x.call.hasCustomerKey {
 		return false
 	}
-	x.call.regions = snap.State.RegionsFor(next.Value, customer)
-	held := snap.State.Revisions()
-	x.call.config, x.call.revision = held[table.PlaneConfig], held[table.PlaneRows]
+	x.call.regions = snap.State.RegionsFor(row.Value, customer)
+	revisions := snap.State.Revisions()
+	x.call.config, x.call.revision = revisions[table.PlaneConfig], revisions[table.PlaneRows]
 	return true
 }
 
-// behind tells whether a newer configuration is in force here than the one that the request goes by.
-func (x *exchange) behind() bool {
-	held := x.g.snapshot().State.Revisions()
-	return held[table.PlaneConfig] > x.call.config || held[table.PlaneRows] > x.call.revision
+// newerConfigActive reports whether the active configuration is newer than the request's.
+func (x *exchange) newerConfigActive() bool {
+	revisions := x.g.snapshot().State.Revisions()
+	return revisions[table.PlaneConfig] > x.call.config || revisions[table.PlaneRows] > x.call.revision
 }
 
-// sends tells whether a route sends requests to a service.
-func sends(r table.Route, service string) bool {
+// routesTo reports whether a route sends requests to a service.
+func routesTo(r table.Route, service string) bool {
 	if r.Service == service && len(r.Split.Parts()) == 0 {
 		return true
 	}
--- a/ingress/stop_test.go
+++ b/ingress/stop_test.go
@@ -20,42 +20,44 @@
 	"github.com/lynxplank/lynxplank/peer"
 )
 
-// doors stands for the doors of endpoints beside this node while it is being stopped.
-type doors struct {
-	mu    sync.Mutex
-	words []string
-	asked []string
-	// begun takes each send that has come as far as its word says, closed ends once nothing may be handed over any more.
+// stoppingEndpoints simulates the egress and the endpoints beside a node that is being stopped.
+type stoppingEndpoints struct {
+	mu         sync.Mutex
+	behaviours []string
+	sends      []string
+	// begun receives each send that has come as far as its behaviour says; closed is closed once nothing may be
+	// dispatched any more.
 	begun  chan struct{}
 	closed chan struct{}
-	// ended counts the sends with a word that are under way.
+	// ended counts the running sends that have a behaviour.
 	ended sync.WaitGroup
 }
 
-// Serve implements Local: the sends take the words in their order, whichever endpoint they go to; those beyond are refused.
-func (s *doors) Serve(ctx context.Context, d *peerpb.Dispatch, _ io.Reader, sink peer.Sink) *peerpb.End {
+// Serve implements Local. The sends take the behaviours in their order, whichever endpoint they go to; the sends beyond
+// the list are refused.
+func (s *stoppingEndpoints) Serve(ctx context.Context, d *peerpb.Dispatch, _ io.Reader, sink peer.Sink) *peerpb.End {
 	s.mu.Lock()
-	if len(s.words) == 0 {
+	if len(s.behaviours) == 0 {
 		s.mu.Unlock()
 		return peer.NotRun(fault.Busy, 0)
 	}
-	word := s.words[0]
-	s.words = s.words[1:]
+	behaviour := s.behaviours[0]
+	s.behaviours = s.behaviours[1:]
 	s.mu.Unlock()
 	defer s.ended.Done()
 	if d.GetTellDue() {
 		sink.Due(0)
 	}
-	end := s.serveAs(ctx, word, sink)
+	end := s.serveAs(ctx, behaviour, sink)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.asked = append(s.asked, word+": "+endName(end))
+	s.sends = append(s.sends, behaviour+": "+endName(end))
 	return end
 }
 
-func (s *doors) serveAs(ctx context.Context, word string, sink peer.Sink) *peerpb.End {
+func (s *stoppingEndpoints) serveAs(ctx context.Context, behaviour string, sink peer.Sink) *peerpb.End {
 	status := uint32(200)
-	switch word {
+	switch behaviour {
 	case "queues":
 		s.begun <- struct{}{}
 		<-ctx.Done()
@@ -67,10 +69,10 @@
 			return peer.NotRun(fault.Stopping, 0)
 		}
 	case "runs":
-		handed := peer.MayHandOver(sink)
+		dispatched := peer.MayHandOver(sink)
 		s.begun <- struct{}{}
 		<-s.closed
-		if !handed || ctx.Err() != nil {
+		if !dispatched || ctx.Err() != nil {
 			return peer.Unknown(fault.Canceled)
 		}
 	case "fails":
@@ -86,21 +88,24 @@
 }
 
 // Settle implements Local.
-func (*doors) Settle(*peerpb.Settle) {}
+func (*stoppingEndpoints) Settle(*peerpb.Settle) {}
 
 // Work implements Local.
-func (*doors) Work(string) inflight.Work { return inflight.Work{} }
+func (*stoppingEndpoints) Work(string) inflight.Work { return inflight.Work{} }
 
-// TestStops runs the scenarios of testdata/stop: requests of a node from which nothing is handed over any more. It prints what the caller is
-// told, with when to come back, and each send with what became of it.
+// TestRequestsDuringStop runs the scenarios of testdata/stop: requests to a node that dispatches nothing any more. The
+// output is what the caller receives, with the retry delay, and each send with how it ended.
 //
-//	get|post [after]      the request comes before that moment, once all its sends have begun, or after it
-//	word word ...         what becomes of its sends
-func TestStops(t *testing.T) {
+//	get|post [after]
+//	behaviour behaviour ...
+//
+// The request arrives before dispatching stops, once all its sends have begun, or with after, afterwards. The second
+// line lists the behaviours of its sends.
+func TestRequestsDuringStop(t *testing.T) {
 	datadriven.RunTest(t, "testdata/stop", func(t *testing.T, d *datadriven.TestData) string {
-		words := strings.Fields(d.Input)
-		local := &doors{words: slices.Clone(words), begun: make(chan struct{}, len(words)), closed: make(chan struct{})}
-		local.ended.Add(len(words))
+		behaviours := strings.Fields(d.Input)
+		local := &stoppingEndpoints{behaviours: slices.Clone(behaviours), begun: make(chan struct{}, len(behaviours)), closed: make(chan struct{})}
+		local.ended.Add(len(behaviours))
 		g := ingressWith(t, fleet(t, 3, 2), local)
 		w := httptest.NewRecorder()
 		r := httptest.NewRequest(strings.ToUpper(d.Cmd), "http://desk.example/x", nil)
@@ -113,7 +118,7 @@
 			defer close(done)
 			serveCaller(g, w, r)
 		}()
-		for range words {
+		for range behaviours {
 			<-local.begun
 		}
 		g.StopDispatchBefore(time.Now())
@@ -121,7 +126,7 @@
 		select {
 		case <-done:
 		case <-time.After(20 * time.Second):
-			d.Fatalf(t, "the caller has no answer")
+			d.Fatalf(t, "the caller received no answer")
 		}
 		local.ended.Wait()
 		out := fmt.Sprintf("%d %q", w.Code, bodyOf(w))
@@ -131,7 +136,7 @@
 		}
 		local.mu.Lock()
 		defer local.mu.Unlock()
-		slices.Sort(local.asked)
-		return strings.Join(append([]string{out}, local.asked...), "\n") + "\n"
+		slices.Sort(local.sends)
+		return strings.Join(append([]string{out}, local.sends...), "\n") + "\n"
 	})
 }
--- a/ingress/trail.go
+++ b/ingress/trail.go
@@ -11,38 +11,38 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// mostLogged bounds the steps of a trail that are logged: what comes after repeats what came before.
-const mostLogged = 12
+// maxLoggedSteps bounds the steps of a trail that are logged: those beyond repeat the earlier ones.
+const maxLoggedSteps = 12
 
 // step is one endpoint that was asked for a request.
 type step struct {
 	endpoint string
-	// at is how long after the request's arrival it was asked.
-	at time.Duration
-	// seenMillis is how old this node's word of the endpoint was, in milliseconds, -1 for none.
-	seenMillis int64
-	// end is what came of it.
+	// offset is the time from the request's arrival to the step.
+	offset time.Duration
+	// reportAgeMillis is the age of this node's latest report of the endpoint, in milliseconds, -1 for none.
+	reportAgeMillis int64
+	// end is the result.
 	end *peerpb.End
 }
 
-// trail is the first steps of one request and the last one; count is the number of all.
+// trail holds the first steps of a request and its last one; count is the number of all steps.
 type trail struct {
 	steps []step
 	count int
 }
 
-// add notes a step; past mostLogged it takes the place of the one before.
+// add records a step. Beyond maxLoggedSteps, it replaces the last step.
 func (t *trail) add(s step) {
 	t.count++
-	if len(t.steps) < mostLogged {
+	if len(t.steps) < maxLoggedSteps {
 		t.steps = append(t.steps, s)
 		return
 	}
-	// The last step decided how the request ended.
-	t.steps[mostLogged-1] = s
+	// The last step decides how the request ends, so it is kept.
+	t.steps[maxLoggedSteps-1] = s
 }
 
-// last is the endpoint that was asked last, "" for none.
+// last returns the endpoint that was asked last, "" for none.
 func (t *trail) last() string {
 	if len(t.steps) == 0 {
 		return ""
@@ -59,14 +59,15 @@
 
 // MarshalZerologObject implements zerolog.LogObjectMarshaler.
 func (s *step) MarshalZerologObject(e *zerolog.Event) {
-	e.Str("endpoint", s.endpoint).Int64("at_ms", s.at.Milliseconds()).Int64("seen_ms", s.seenMillis).
+	e.Str("endpoint", s.endpoint).Int64("at_ms", s.offset.Milliseconds()).Int64("seen_ms", s.reportAgeMillis).
 		Str("outcome", s.end.GetOutcome().String())
 	if code := s.end.GetCode(); code != "" {
 		e.Str("code", code)
 	}
 }
 
-// log tells how a request ended, what decided it, and by which configuration and list of hosts.
+// log logs how a request ended, what decided it, and the revisions of the configuration and of the host list that it
+// used.
 func (x *exchange) log(end *peerpb.End) {
 	status := x.answer.head.GetStatus()
 	after := time.Since(x.start)
@@ -87,14 +88,14 @@
 		e.Str("code", code)
 	}
 	if event != events.RequestServed {
-		e.Stringer("content", x.call.content).Dur("aim", x.aim()).Dur("limit", x.call.timeout).
+		e.Stringer("content", x.call.fingerprint).Dur("aim", x.latencyTarget()).Dur("limit", x.call.timeout).
 			Bool("last_resort", x.lastResort).Array("trail", &x.trail)
 	}
 	e.Send()
 }
 
-// logAgain tells that the request goes to a further endpoint.
-func (x *exchange) logAgain(end *peerpb.End) {
+// logRetry logs that the request is sent to another endpoint.
+func (x *exchange) logRetry(end *peerpb.End) {
 	events.SentAgain.Log(x.g.log).Str("request", x.call.id).Str("service", x.call.service.Key).
 		Str("endpoint", x.trail.last()).Str("outcome", end.GetOutcome().String()).Str("code", end.GetCode()).
 		Int("sends", x.sends).Send()
