--- a/ingress/deliver.go
+++ b/ingress/deliver.go
@@ -42,7 +42,7 @@
 }
 
 // deliverTo sends a dispatch to the egress of an endpoint's host and registers the send with the request's progress, so
-// that a planned stop can cancel it.
+// that a planned stop can cancel it before it is dispatched.
 func (x *exchange) deliverTo(
 	ctx context.Context, e table.Entry[table.Endpoint], d *peerpb.Dispatch, sink *answer,
 ) *peerpb.End {
@@ -55,7 +55,7 @@
 		defer doneRecovering()
 		ctx = recoverable
 	}
-	return x.asStopping(x.dispatchTo(ctx, e, d, sink))
+	return x.asStopping(x.exchangeWith(ctx, e, d, sink))
 }
 
 // asStopping changes the end of a send that was abandoned because this node stops, so that the caller retries at
@@ -72,9 +72,9 @@
 	return end
 }
 
-// dispatchTo sends a dispatch to the egress of an endpoint's host, by a function call on this host and over a link
+// exchangeWith sends a Dispatch to the egress of an endpoint's host, by a function call on this host and over a link
 // otherwise. If the link breaks, it asks for the answer again.
-func (x *exchange) dispatchTo(ctx context.Context, e table.Entry[table.Endpoint], d *peerpb.Dispatch, sink *answer) *peerpb.End {
+func (x *exchange) exchangeWith(ctx context.Context, e table.Entry[table.Endpoint], d *peerpb.Dispatch, sink *answer) *peerpb.End {
 	if e.Value.Host == x.g.cfg.Host {
 		return x.g.local.Serve(ctx, d, x.body.reader(), sink)
 	}
--- a/ingress/exchange.go
+++ b/ingress/exchange.go
@@ -26,7 +26,8 @@
 	maxWaits = 3
 	// maxDeclined bounds how often a request may be declined before it is given up.
 	maxDeclined = 100
-	// inlineBody is the largest body, in bytes, that is sent with an offer; a longer one follows at the dispatch.
+	// inlineBody is the largest body, in bytes, that is sent with an offer; a longer one follows when the request
+	// is dispatched.
 	inlineBody = 16 << 10
 )
 
@@ -76,7 +77,7 @@
 	hasPass  bool
 	pass     ratelimit.Pass
 	progress progress
-	// closeTimer closes progress while the node stops; nil before.
+	// closeTimer closes progress shortly before the node ends; nil while it is not stopping.
 	closeTimer *time.Timer
 	// trail records the endpoints that were asked and the results, for the log.
 	trail trail
@@ -170,7 +171,7 @@
 	}
 	x.offers = maxOffers
 	if x.waits++; x.waits > maxWaits {
-		return director.Pick{}, true, fault.New(fault.Overloaded, x.call.service.Key, "no endpoint that was asked has room in its queue")
+		return director.Pick{}, true, fault.New(fault.Overloaded, x.call.service.Key, "no endpoint that was asked has capacity in its queue")
 	}
 	opts := x.pickOptions()
 	opts.Least = true
@@ -236,7 +237,7 @@
 	return a.end
 }
 
-// markSend sets the fields of a dispatch that describe the kind of send.
+// markSend sets the fields of a Dispatch that describe the kind of send. On the wire, a retry is called a repeat.
 func (x *exchange) markSend(d *peerpb.Dispatch, wait bool) {
 	d.Wait, d.LastResort, d.LikelyOnly = wait, x.lastResort, x.likelyOnly || !x.call.repeatable
 	d.Canary = x.call.repeatable && x.sends == 0
@@ -286,7 +287,7 @@
 	}
 }
 
-// recordEnd records what an end shows of whether the request ran, for withOverallOutcome.
+// recordEnd records whether a send reached an endpoint, ran or may have run, and whether its endpoint crashed.
 func (x *exchange) recordEnd(end *peerpb.End) {
 	if reachedEndpoint(end) {
 		x.reachedEndpoint, x.hasPass = true, false
@@ -298,7 +299,8 @@
 	x.mayHaveRun = x.mayHaveRun || end.GetOutcome() == peerpb.Outcome_OUTCOME_UNKNOWN
 }
 
-// buildDispatch returns the request as it is sent to an endpoint's node. claim is nil for requests without a key.
+// buildDispatch returns the request as it is sent to an endpoint's node. claim is nil for requests without a key. On
+// the wire, the latency target is called aim and the fingerprint content.
 func (x *exchange) buildDispatch(ctx context.Context, pick director.Pick, claim *peerpb.Claim) *peerpb.Dispatch {
 	deadline, _ := ctx.Deadline()
 	d := &peerpb.Dispatch{
@@ -356,7 +358,7 @@
 	return peer.NotRun(fault.Stopping, elsewhereRetryAfter)
 }
 
-// shouldRetry reports whether the request is to be sent to another endpoint.
+// shouldRetry handles the end of a send and reports whether the request is to be sent again.
 func (x *exchange) shouldRetry(ctx context.Context, pick director.Pick, end *peerpb.End) bool {
 	if ctx.Err() != nil || x.progress.isClosed() {
 		return false
--- a/ingress/hedge.go
+++ b/ingress/hedge.go
@@ -69,8 +69,8 @@
 // sendRepeatable sends a repeatable request, and hedges it to a second endpoint if its answer is overdue. The first
 // good answer counts and the other send is canceled: its slot is worth more than its answer.
 //
-// An endpoint that stops answering for a second fails the requests it has, and with each of its own lookups the
-// caller's request behind it. Without hedges 21 in 100 requests go unserved instead of 15 (docs/DECISIONS.md).
+// An endpoint that stops answering for a second loses the requests it has, and each lost lookup also fails the caller's
+// request that depends on it. Without hedges 21 in 100 requests go unserved instead of 15 (docs/DECISIONS.md).
 func (x *exchange) sendRepeatable(ctx context.Context, pick director.Pick, wait bool) (director.Pick, *peerpb.End) {
 	h := &hedgedRequest{x: x, finished: make(chan *attempt, 1+maxHedgeOffers)}
 	first := h.start(ctx, pick, wait, false)
@@ -79,7 +79,7 @@
 		select {
 		case a := <-h.finished:
 			if h.finishAttempt(ctx, a) {
-				return h.finish()
+				return h.close()
 			}
 		case <-due:
 			h.startHedge(ctx)
@@ -178,8 +178,8 @@
 	return len(h.running) == 0 || a.answer.started || !a.answer.failed(a.end) && h.x.winner.take(a.answer)
 }
 
-// finish returns the send that ended last and cancels those still running, which are reported when they end.
-func (h *hedgedRequest) finish() (director.Pick, *peerpb.End) {
+// close returns the send that ended last and cancels those still running, which are reported when they end.
+func (h *hedgedRequest) close() (director.Pick, *peerpb.End) {
 	x, last := h.x, h.completed[len(h.completed)-1]
 	for _, a := range slices.Concat(h.completed[:len(h.completed)-1], h.superseded, h.running) {
 		a.cancel()
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -31,7 +31,7 @@
 type Config struct {
 	// Host is this node's host, Hall that host's hall.
 	Host, Hall string
-	// Service is the service of the endpoint beside this node. Endpoints are told it as the caller of a request.
+	// Service is the service of the endpoint beside this node. It is passed to endpoints as the caller of a request.
 	Service string
 	// Incarnation distinguishes this process from earlier ones on the same host.
 	Incarnation uint64
@@ -62,7 +62,7 @@
 	limits   Limits
 	splits   *splits
 	settling inflight.Counter
-	// exchangeCount numbers this node's offers.
+	// exchangeCount numbers this node's sends; together with Incarnation it identifies a send.
 	exchangeCount atomic.Uint64
 	// configIsNewest asks the platform whether this node has the newest configuration.
 	configIsNewest func(ctx context.Context) bool
--- a/ingress/keyed.go
+++ b/ingress/keyed.go
@@ -108,6 +108,7 @@
 	}
 }
 
+// withVouched sets whether the key's other owner has confirmed that it knows of no run.
 func withVouched(c *peerpb.Claim, vouched bool) *peerpb.Claim {
 	c.Vouched = vouched
 	return c
--- a/ingress/progress.go
+++ b/ingress/progress.go
@@ -170,22 +170,22 @@
 	stopAt time.Time
 }
 
-func (u *inFlightRequests) add(x *exchange) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if u.all == nil {
-		u.all = make(map[*exchange]struct{})
+func (r *inFlightRequests) add(x *exchange) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.all == nil {
+		r.all = make(map[*exchange]struct{})
 	}
-	u.all[x] = struct{}{}
-	if !u.stopAt.IsZero() {
-		x.closeBefore(u.stopAt)
+	r.all[x] = struct{}{}
+	if !r.stopAt.IsZero() {
+		x.closeBefore(r.stopAt)
 	}
 }
 
-func (u *inFlightRequests) remove(x *exchange) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	delete(u.all, x)
+func (r *inFlightRequests) remove(x *exchange) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	delete(r.all, x)
 	if x.closeTimer != nil {
 		x.closeTimer.Stop()
 	}
@@ -202,9 +202,9 @@
 	x.closeTimer = time.AfterFunc(left, x.progress.close)
 }
 
-// StopDispatchBefore prepares for the node's end, which comes at end or later. A request that no endpoint has is
-// refused as not run when a dispatch would come too late to finish: the work would usually be cut off, and another node
-// can still serve the request.
+// StopDispatchBefore prepares for a planned stop; end is the earliest time at which the node may end. Shortly before
+// that, each request that no endpoint has is refused as not run: work that is dispatched later would usually be cut off,
+// and another node can still serve the request.
 func (g *Ingress) StopDispatchBefore(end time.Time) {
 	g.inFlight.mu.Lock()
 	defer g.inFlight.mu.Unlock()
@@ -228,11 +228,11 @@
 func (g *Ingress) InFlight() []Request {
 	g.inFlight.mu.Lock()
 	defer g.inFlight.mu.Unlock()
-	out := make([]Request, 0, len(g.inFlight.all))
+	requests := make([]Request, 0, len(g.inFlight.all))
 	for x := range g.inFlight.all {
 		stage, endpoint := x.progress.stage()
-		out = append(out, Request{ID: x.call.id, Stage: stage, Endpoint: endpoint, Age: time.Since(x.start)})
+		requests = append(requests, Request{ID: x.call.id, Stage: stage, Endpoint: endpoint, Age: time.Since(x.start)})
 	}
-	slices.SortFunc(out, func(a, b Request) int { return cmp.Compare(b.Age, a.Age) })
-	return out
+	slices.SortFunc(requests, func(a, b Request) int { return cmp.Compare(b.Age, a.Age) })
+	return requests
 }
--- a/ingress/recover.go
+++ b/ingress/recover.go
@@ -43,8 +43,8 @@
 // fetchOnce tries a new link and each relay once.
 func (x *exchange) fetchOnce(ctx context.Context, host table.HostInfo, exchange uint64, end *peerpb.End) *peerpb.End {
 	x.answer.reset()
-	renew, cancel := context.WithTimeout(ctx, linkTimeout)
-	s, err := x.g.links.Renew(renew, host.Address)
+	renewCtx, cancel := context.WithTimeout(ctx, linkTimeout)
+	s, err := x.g.links.Renew(renewCtx, host.Address)
 	cancel()
 	if err == nil {
 		if end = s.Fetch(ctx, exchange, x.answer); !linkLost(end) {
@@ -68,11 +68,11 @@
 }
 
 // mayRelayVia reports whether the request's data may pass through a host of a hall: one in an allowed region, or in
-// this node's own region, where the caller's data came from.
+// this node's own region, hallRegion the caller's data came from.
 func (x *exchange) mayRelayVia(hall string) bool {
 	snap := x.g.snapshot()
-	where := snap.RegionOf(hall)
-	return x.call.regions.Allows(where) || where != "" && where == snap.RegionOf(x.g.cfg.Hall)
+	hallRegion := snap.RegionOf(hall)
+	return x.call.regions.Allows(hallRegion) || hallRegion != "" && hallRegion == snap.RegionOf(x.g.cfg.Hall)
 }
 
 // relays returns up to maxRelays nodes that this node can reach, those of the endpoint's hall first.
--- a/ingress/routes.go
+++ b/ingress/routes.go
@@ -14,7 +14,7 @@
 	maxRoutes = 512
 	// sizeSmoothing is the weight of the newest request in a route's average size.
 	sizeSmoothing = 0.1
-	// latencyTargetDivisor is the assumed ratio of latency target to work time on a route without samples.
+	// latencyTargetDivisor is the assumed ratio of latency target to work time on a route with too few samples.
 	latencyTargetDivisor = 3
 	// median is the quantile of the usual work time.
 	median = 0.5
@@ -80,8 +80,9 @@
 	return r.times.Of(route, target/latencyTargetDivisor).Quantile(workQuantile)
 }
 
-// hallWait returns how long a request, with left to its latency target, waits for a slot in its own hall to save
-// traffic between halls. The wait grows with the bytes that the route moves, and leaves enough time for the work.
+// hallWait returns how long a request waits for a slot in its own hall to save traffic between halls. left is the time
+// until its latency target. The wait grows with the bytes that the route's requests transfer, and leaves enough time for
+// the work.
 func (r *routeStats) hallWait(route string, left time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/ingress/routes_test.go
+++ b/ingress/routes_test.go
@@ -23,8 +23,8 @@
 			r.record("b", work, 2*size)
 		}
 		got := r.hallWait("a", left)
-		if most := max(0, left-work); got < 0 || got > most {
-			t.Fatalf("with %v left for work of %v: got %v, want 0 to %v", left, work, got, most)
+		if limit := max(0, left-work); got < 0 || got > limit {
+			t.Fatalf("with %v left for work of %v: got %v, want 0 to %v", left, work, got, limit)
 		}
 		if larger := r.hallWait("b", left); larger < got {
 			t.Fatalf("of twice the size: got %v, want at least %v", larger, got)
--- a/ingress/split.go
+++ b/ingress/split.go
@@ -7,8 +7,8 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// maxSplits bounds the routes whose shares are tracked.
 const (
+	// maxSplits bounds the routes whose shares are tracked.
 	maxSplits = 10000
 	// maxInitialSteps is about one round of weights in percent.
 	maxInitialSteps = 100
--- a/ingress/trail.go
+++ b/ingress/trail.go
@@ -67,7 +67,7 @@
 }
 
 // log logs how a request ended, what decided it, and the revisions of the configuration and of the host list that it
-// used.
+// used. In the log, the fingerprint is called content and the latency target aim.
 func (x *exchange) log(end *peerpb.End) {
 	status := x.answer.head.GetStatus()
 	after := time.Since(x.start)
