--- a/ingress/calls_test.go
+++ b/ingress/calls_test.go
@@ -20,16 +20,17 @@
 
 // The scenarios guard against a service that receives more retries than its budget allows because retried work of
 // another service calls it again: nothing took these calls from the called service's retries, so they came on top of
-// the full budget. On a day with many failing endpoints they were 52 of the 128 retries in the worst window.
+// the full budget. On a day with many failing endpoints, they were 52 of the 128 retries that arrived in the worst
+// window.
 
 // namingContract is the product's contract for callers that name their requests.
 type namingContract struct{ contract.Own }
 
 // Call implements contract.Contract.
 func (n namingContract) Call(h http.Header) (contract.Call, *fault.Error) {
-	c, bad := n.Own.Call(h)
+	c, failure := n.Own.Call(h)
 	c.ID = h.Get(header.RequestID)
-	return c, bad
+	return c, failure
 }
 
 // callingEndpoint is an endpoint whose work calls another service through the node beside it.
--- a/ingress/hallwait.go
+++ b/ingress/hallwait.go
@@ -8,8 +8,8 @@
 const (
 	// maxHallWaitShare is the largest share of the time to spare before the latency target that a request waits for a
 	// slot in its own hall. In that time a slot usually becomes free there, and the slots of other halls are not left
-	// idle meanwhile. With 0.8, requests had 72 of 100 of their value on a day with unevenly loaded halls; with a
-	// quarter, 76. Where traffic between halls is expensive, either value serves as much and transfers as many bytes
+	// idle meanwhile. With 0.8, answers had 72% of their full value on a day with unevenly loaded halls; with 0.25,
+	// 76%. Where traffic between halls is expensive, either share serves as much and transfers as many bytes
 	// (docs/DECISIONS.md).
 	maxHallWaitShare = 0.25
 	// halfWaitSize is the size of request and answer together, in bytes, at which a request waits half of that share.
--- a/ingress/keyed.go
+++ b/ingress/keyed.go
@@ -42,7 +42,8 @@
 }
 
 // runFirstAttempt runs the request at the first owner. If the first owner remembers too little, the second owner must
-// confirm that it knows of no run; if the first owner cannot be reached, the request runs at the second.
+// confirm that it knows of no run, or returns the answer if it has one. If the first owner cannot be reached, the request
+// runs at the second.
 func (x *exchange) runFirstAttempt(ctx context.Context, owners []table.Entry[table.Endpoint]) *peerpb.End {
 	end := x.runAtOwner(ctx, owners[0], false)
 	if !ownerUnreachable(end) {
@@ -76,7 +77,7 @@
 	return out
 }
 
-// ownerUnreachable reports whether an owner could not decide, and nothing ran.
+// ownerUnreachable reports whether an owner could not be reached or could not protect the key, so that nothing ran.
 func ownerUnreachable(end *peerpb.End) bool {
 	code := fault.Code(end.GetCode())
 	unreachable := code == fault.LinkDown || code == fault.KeyRefused || code == fault.WrongHost ||
--- a/ingress/keys_test.go
+++ b/ingress/keys_test.go
@@ -114,7 +114,7 @@
 // not answer. request sends a request with header lines; with changes, the platform's configuration becomes active when
 // the endpoint is asked. The output is the status and code, and what the endpoint received.
 func TestCustomerKeys(t *testing.T) {
-	k := newKeyed(t)
+	k := newKeyedNode(t)
 	datadriven.RunTest(t, "testdata/keys", func(t *testing.T, d *datadriven.TestData) string {
 		switch d.Cmd {
 		case "rows":
@@ -133,7 +133,7 @@
 	})
 }
 
-func newKeyed(t *testing.T) *keyedNode {
+func newKeyedNode(t *testing.T) *keyedNode {
 	k := &keyedNode{t: t, state: fleet(t, 1, 1)}
 	k.newest = k.state
 	k.g = ingressWith(t, k.state, k)
@@ -178,14 +178,14 @@
 // newer configuration, and whatever is still sent for it keeps its customer's name. A hedge was once sent without a
 // customer.
 func TestRemovedKeyKeepsCallUnchanged(t *testing.T) {
-	k := newKeyed(t)
+	k := newKeyedNode(t)
 	k.state = k.rows("listener callers keys=yes\ncustomer acme keys=plain:k1", k.state)
 	r := httptest.NewRequest(http.MethodGet, "http://desk.example/x", nil)
 	r.RequestURI = "/x"
 	r.Header.Set("Authorization", "Token k1")
-	c, bad := k.g.parse(k.g.snapshot(), r)
-	if bad != nil {
-		t.Fatal(bad)
+	c, failure := k.g.parse(k.g.snapshot(), r)
+	if failure != nil {
+		t.Fatal(failure)
 	}
 	k.state = k.rows("customer acme keys=plain:k2", k.state)
 	x := &exchange{g: k.g, call: c}
@@ -193,6 +193,6 @@
 		t.Errorf("adopted a configuration without its key: got %v, want %v", got, want)
 	}
 	if x.call.customer != "acme" || !x.call.hasCustomerKey || x.call.revision != c.revision {
-		t.Errorf("call: got customer %q, keyed %v, revision %d, want it as it was", x.call.customer, x.call.hasCustomerKey, x.call.revision)
+		t.Errorf("call: got customer %q, hasCustomerKey %v, revision %d, want it as it was", x.call.customer, x.call.hasCustomerKey, x.call.revision)
 	}
 }
--- a/ingress/refuse.go
+++ b/ingress/refuse.go
@@ -20,7 +20,7 @@
 	Detail string `json:"detail"`
 	// RequestID identifies the request in logs.
 	RequestID string `json:"request_id,omitempty"`
-	// RetryAfterMillis is when to retry, 0 if a retry cannot help.
+	// RetryAfterMillis is how long to wait before a retry, 0 if a retry cannot help.
 	RetryAfterMillis int64 `json:"retry_after_ms,omitempty"`
 }
 
--- a/ingress/inplace_test.go
+++ b/ingress/replacement_test.go
@@ -20,7 +20,7 @@
 type restartedEndpoints struct {
 	mu    sync.Mutex
 	asked []string
-	// exchanges are the numbers of the offers, which must all differ.
+	// exchanges are the exchange numbers of the sends, which must all differ.
 	exchanges []uint64
 }
 
--- a/ingress/resend_test.go
+++ b/ingress/resend_test.go
@@ -8,10 +8,9 @@
 	"github.com/lynxplank/lynxplank/peer"
 )
 
-// TestResendWhoseTimeRanOutIsUnknown has the time of a request run out before an owner of its key was asked. A booking
-// that had run was reported as not run in this way at its fourth send; the soak, seed 25 with six nodes, half of them
-// paused, killed or cut off, found it in one of its runs. Only the first attempt under a key is known not to have run
-// before.
+// TestResendWhoseTimeRanOutIsUnknown has the time of a request run out before an owner of its key was asked. Only the
+// first attempt under a key is known not to have run before. One run of the soak (seed 25, six nodes, half of them
+// paused, killed or cut off) had a booking reported as not run at its fourth send although it had run.
 func TestResendWhoseTimeRanOutIsUnknown(t *testing.T) {
 	for _, code := range []fault.Code{fault.DeadlineExceeded, fault.Canceled, fault.LinkDown, fault.KeyRefused} {
 		for attempt, want := range []peerpb.Outcome{
--- a/ingress/stop_test.go
+++ b/ingress/stop_test.go
@@ -99,8 +99,8 @@
 //	get|post [after]
 //	behaviour behaviour ...
 //
-// The request arrives before dispatching stops, once all its sends have begun, or with after, afterwards. The second
-// line lists the behaviours of its sends.
+// Dispatching stops once the request's sends have begun or, with after, before the request arrives. The second line
+// lists the behaviours of the sends.
 func TestRequestsDuringStop(t *testing.T) {
 	datadriven.RunTest(t, "testdata/stop", func(t *testing.T, d *datadriven.TestData) string {
 		behaviours := strings.Fields(d.Input)
