--- a/ingress/answer.go
+++ b/ingress/answer.go
@@ -40,8 +40,8 @@
 	// head is the head of the latest answer, recordedBody the part of its body that is recorded for the key's owner.
 	head         *peerpb.Head
 	recordedBody []byte
-	// memoryHold counts the held bytes against the node's memory budget.
-	memoryHold *memory.Hold
+	// reservation counts the held bytes against the node's memory budget.
+	reservation *memory.Hold
 	// bodySize is the number of body bytes received so far.
 	bodySize int
 	late     lateNotifier
@@ -75,7 +75,7 @@
 
 // reset discards a held answer before the next send.
 func (a *answer) reset() {
-	a.memoryHold.Shrink(len(a.body))
+	a.reservation.Shrink(len(a.body))
 	a.held, a.head = nil, nil
 	a.body, a.recordedBody = nil, nil
 }
@@ -132,7 +132,7 @@
 	if a.recordBody && len(a.recordedBody) <= dedupe.KeptBody {
 		a.recordedBody = append(a.recordedBody, b...)
 	}
-	if a.held != nil && len(a.body)+len(b) <= maxHeldBody && a.memoryHold.Grow(len(b)) {
+	if a.held != nil && len(a.body)+len(b) <= maxHeldBody && a.reservation.Grow(len(b)) {
 		a.body = append(a.body, b...)
 		return nil
 	}
@@ -158,7 +158,7 @@
 	}
 	a.held = nil
 	_, err := a.w.Write(a.body)
-	a.memoryHold.Shrink(len(a.body))
+	a.reservation.Shrink(len(a.body))
 	a.body = nil
 	return err
 }
--- a/ingress/arrivals_test.go
+++ b/ingress/arrivals_test.go
@@ -23,12 +23,12 @@
 // refused as belonging to another instance (moved) was counted by the endpoint as an arrival, but its next send was not
 // taken from the retry budget. The scenarios cover every way in which a send can end.
 
-// misplacedContract is the product's contract for endpoints that mark misplaced requests with status 421 and requests
+// misroutedContract is the product's contract for endpoints that mark misrouted requests with status 421 and requests
 // that they did not run with 503.
-type misplacedContract struct{ contract.Own }
+type misroutedContract struct{ contract.Own }
 
 // Answer implements contract.Contract.
-func (m misplacedContract) Answer(status int, h http.Header) contract.Answer {
+func (m misroutedContract) Answer(status int, h http.Header) contract.Answer {
 	a := m.Own.Answer(status, h)
 	a.Misplaced = status == http.StatusMisdirectedRequest
 	a.NotRun = a.NotRun || a.Misplaced || status == http.StatusServiceUnavailable
@@ -110,7 +110,7 @@
 			addresses = append(addresses, startEndpoint(t, &behaviours, &arrivals))
 		}
 		s := fleetWithTarget(t, addresses)
-		e := egressWith(s, misplacedContract{})
+		e := egressWith(s, misroutedContract{})
 		status := statusOfCall(t, ingressWith(t, s, e), d.Cmd)
 		return fmt.Sprintf("%d, %d arrivals, %d taken\n", status, arrivals.Load(), retryArrivals(e))
 	})
--- a/ingress/ends.go
+++ b/ingress/ends.go
@@ -51,8 +51,8 @@
 	return false
 }
 
-// misplaced reports whether the request was refused because the sender's view was outdated or its link was down.
-func misplaced(end *peerpb.End) bool {
+// misrouted reports whether the request was refused because the sender's view was outdated or its link was down.
+func misrouted(end *peerpb.End) bool {
 	switch fault.Code(end.GetCode()) {
 	case fault.Draining, fault.Evacuated, fault.OutOfRegion, fault.WrongHost, fault.EndpointMoved, fault.LinkDown, fault.Stale:
 		return end.GetOutcome() == peerpb.Outcome_OUTCOME_NOT_RUN
--- a/ingress/exchange.go
+++ b/ingress/exchange.go
@@ -44,8 +44,8 @@
 	// winner selects the send whose answer goes to the caller.
 	winner   *winner
 	refusals *refusals
-	// holds count the answers of the sends against the node's memory budget.
-	holds []*memory.Hold
+	// reservations count the answers of the sends against the node's memory budget.
+	reservations []*memory.Hold
 	// tried are the endpoints that had the request, or refused it for a lasting reason.
 	tried []string
 	// declined are the endpoints that had no free slot, or took only trials, when they were asked in this round.
@@ -72,11 +72,11 @@
 	budgetRefusals int
 	// sends counts the send results that were passed to the retry policy, including refusals by full queues.
 	sends int
-	// hasPass is set while pass, granted by the customer's rate limit, has not been used by a send that reached an
+	// hasPermit is set while permit, granted by the customer's rate limit, has not been used by a send that reached an
 	// endpoint.
-	hasPass  bool
-	pass     ratelimit.Pass
-	progress progress
+	hasPermit bool
+	permit    ratelimit.Pass
+	progress  progress
 	// closeTimer closes progress shortly before the node ends; nil while it is not stopping.
 	closeTimer *time.Timer
 	// trail records the endpoints that were asked and the results, for the log.
@@ -117,20 +117,20 @@
 			// The retry did not run, so the previous endpoint's answer is still the best.
 			end = last
 		}
-		if !retryNext || !x.takePass(ctx) {
+		if !retryNext || !x.takePermit(ctx) {
 			return x.withOverallOutcome(x.asStoppingIfUnsent(ctx, end))
 		}
 		last = end
 	}
 }
 
-// takePass obtains a pass from the customer's rate limit for the next send, unless the last pass was not used by a send
-// that reached an endpoint: the limit counts what endpoints run.
-func (x *exchange) takePass(ctx context.Context) bool {
-	if !x.hasPass {
-		x.pass, _, x.hasPass = x.g.limits.Take(ctx, x.call.customer)
+// takePermit obtains a permit from the customer's rate limit for the next send, unless the last permit was not used by a
+// send that reached an endpoint: the limit counts what endpoints run.
+func (x *exchange) takePermit(ctx context.Context) bool {
+	if !x.hasPermit {
+		x.permit, _, x.hasPermit = x.g.limits.Take(ctx, x.call.customer)
 	}
-	return x.hasPass
+	return x.hasPermit
 }
 
 // sendTo sends the request to the picked endpoint. On return pick is the endpoint whose end is returned, which may be
@@ -254,26 +254,26 @@
 func (x *exchange) newAnswer() *answer {
 	a := newAnswer(x.answer.w, x.call, x.g.cfg.Contract, x.winner)
 	a.progress = &x.progress
-	x.trackMemory(a)
+	x.reserveMemory(a)
 	return a
 }
 
-// trackMemory counts what an answer holds against the node's memory budget.
-func (x *exchange) trackMemory(a *answer) {
-	a.memoryHold = x.g.budget.Hold(x.call.customer)
-	x.holds = append(x.holds, a.memoryHold)
+// reserveMemory gives an answer a reservation in the node's memory budget.
+func (x *exchange) reserveMemory(a *answer) {
+	a.reservation = x.g.budget.Hold(x.call.customer)
+	x.reservations = append(x.reservations, a.reservation)
 }
 
-// detachHolds makes sends that outlive the request responsible for freeing what their answers hold.
-func (x *exchange) detachHolds(running []*attempt) {
+// detachReservations leaves it to sends that outlive the request to release the reservations of their answers.
+func (x *exchange) detachReservations(running []*attempt) {
 	for _, a := range running {
-		x.holds = slices.DeleteFunc(x.holds, func(h *memory.Hold) bool { return h == a.answer.memoryHold })
+		x.reservations = slices.DeleteFunc(x.reservations, func(h *memory.Hold) bool { return h == a.answer.reservation })
 	}
 }
 
-// freeHolds frees what the answers of the ended sends hold.
-func (x *exchange) freeHolds() {
-	for _, h := range x.holds {
+// releaseReservations releases the reservations of the answers of the ended sends.
+func (x *exchange) releaseReservations() {
+	for _, h := range x.reservations {
 		h.Free()
 	}
 }
@@ -290,7 +290,7 @@
 // recordEnd records whether a send reached an endpoint, ran or may have run, and whether its endpoint crashed.
 func (x *exchange) recordEnd(end *peerpb.End) {
 	if reachedEndpoint(end) {
-		x.reachedEndpoint, x.hasPass = true, false
+		x.reachedEndpoint, x.hasPermit = true, false
 	}
 	if end.GetEnded() {
 		x.crashes++
@@ -373,7 +373,7 @@
 		return x.afterBudgetRefusal(pick.Endpoint.Key)
 	}
 	x.tried = append(x.tried, pick.Endpoint.Key)
-	if misplaced(end) {
+	if misrouted(end) {
 		return x.refreshConfig(ctx, end)
 	}
 	if egressFull(end) && len(x.suspects) > 0 && !x.lastResort {
--- a/ingress/hedge.go
+++ b/ingress/hedge.go
@@ -47,8 +47,8 @@
 	// offset is the time from the request's arrival to the start of the send.
 	offset  time.Duration
 	isHedge bool
-	// pass is the pass that the customer's rate limit granted for a hedge.
-	pass   ratelimit.Pass
+	// permit was granted by the customer's rate limit for a hedge.
+	permit ratelimit.Pass
 	cancel context.CancelFunc
 	end    *peerpb.End
 }
@@ -93,7 +93,7 @@
 	case fault.RetryBudget, fault.Stopping:
 		return true
 	}
-	return declined(end) || misplaced(end) || egressFull(end)
+	return declined(end) || misrouted(end) || egressFull(end)
 }
 
 // start begins a send.
@@ -136,14 +136,14 @@
 		h.retryLater()
 		return
 	}
-	pass, _, ok := x.g.limits.Take(ctx, x.call.customer)
+	permit, _, ok := x.g.limits.Take(ctx, x.call.customer)
 	if !ok {
 		h.retryLater()
 		return
 	}
 	events.SentTwice.Log(x.g.log).Str("request", x.call.id).Str("service", x.call.service.Key).
 		Str("endpoint", pick.Endpoint.Key).Dur("after", time.Since(x.start)).Send()
-	h.start(ctx, pick, false, true).pass = pass
+	h.start(ctx, pick, false, true).permit = permit
 }
 
 // retryLater has startHedge run again after hedgeRetryInterval.
@@ -162,7 +162,7 @@
 	h.running = slices.DeleteFunc(h.running, func(other *attempt) bool { return other == a })
 	h.x.recordAttempt(a)
 	if a.isHedge && hedgeRefused(a.end) {
-		a.pass.Return()
+		a.permit.Return()
 		h.declined = append(h.declined, a.pick.Endpoint.Key)
 		if len(h.running) > 0 {
 			h.startHedge(ctx)
@@ -188,12 +188,12 @@
 		x.tried = append(x.tried, a.pick.Endpoint.Key)
 	}
 	if remaining := len(h.running); remaining > 0 {
-		x.detachHolds(h.running)
+		x.detachReservations(h.running)
 		go func() {
 			for range remaining {
 				a := <-h.finished
 				x.report(a)
-				a.answer.memoryHold.Free()
+				a.answer.reservation.Free()
 			}
 		}()
 	}
@@ -230,6 +230,6 @@
 	x.g.director.Done(director.Report{
 		Service: x.call.service.Key, Pick: a.pick, WasLate: late, Load: a.end.GetLoad(),
 		Worked: isEndpointSample(a.end) && !a.end.GetLoad().GetTrial(), Failed: a.answer.failed(a.end),
-		Declined: declined(a.end) || misplaced(a.end), Spent: fault.Code(a.end.GetCode()) == fault.RetryBudget,
+		Declined: declined(a.end) || misrouted(a.end), Spent: fault.Code(a.end.GetCode()) == fault.RetryBudget,
 	})
 }
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -79,7 +79,7 @@
 
 // Limits enforces the customers' rate limits.
 type Limits interface {
-	// Take grants one send of a customer, or returns after what time to retry.
+	// Take grants one send of a customer, or returns false and the time after which to retry.
 	Take(ctx context.Context, customer string) (ratelimit.Pass, time.Duration, bool)
 }
 
@@ -219,7 +219,7 @@
 }
 
 func (g *Ingress) serve(w http.ResponseWriter, r *http.Request, c call) *peerpb.End {
-	pass, wait, ok := g.limits.Take(r.Context(), c.customer)
+	permit, wait, ok := g.limits.Take(r.Context(), c.customer)
 	if !ok {
 		end := peer.NotRun(fault.CustomerLimit, wait)
 		events.RequestRefused.Log(g.log).Str("request", c.id).Str("code", end.GetCode()).Str("customer", c.customer).
@@ -229,14 +229,14 @@
 	}
 	body, err := readBody(r)
 	if err != nil {
-		pass.Return()
+		permit.Return()
 		end := peer.NotRun(err.Code, 0)
 		g.refuseEarly(w, r, c.id, end, err.Detail)
 		return end
 	}
 	c.fingerprint = poison.ContentOf(c.customer, c.method, c.route.Value.Host, c.target, body.data)
 	if g.crashes.Ends(c.fingerprint) >= poison.BarAfter {
-		pass.Return()
+		permit.Return()
 		end := peer.NotRun(fault.FatalRequest, 0)
 		events.RequestRefused.Log(g.log).Str("request", c.id).Str("code", end.GetCode()).Str("service", c.service.Key).
 			Stringer("content", c.fingerprint).Send()
@@ -245,17 +245,17 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), c.timeout)
 	defer cancel()
-	x := &exchange{g: g, start: time.Now(), stopwatch: g.clock.Begin(), call: c, body: body, winner: new(winner), pass: pass, hasPass: true}
+	x := &exchange{g: g, start: time.Now(), stopwatch: g.clock.Begin(), call: c, body: body, winner: new(winner), permit: permit, hasPermit: true}
 	x.answer = newAnswer(w, c, g.cfg.Contract, x.winner)
 	x.answer.progress = &x.progress
-	x.trackMemory(x.answer)
-	defer x.freeHolds()
+	x.reserveMemory(x.answer)
+	defer x.releaseReservations()
 	g.inFlight.add(x)
 	defer g.inFlight.remove(x)
 	x.refusals = g.refusals(c.service.Key)
 	end := x.run(ctx)
-	if x.hasPass {
-		x.pass.Return()
+	if x.hasPermit {
+		x.permit.Return()
 	}
 	x.log(end)
 	return x.answer.finish(end)
