--- a/ingress/answer.go
+++ b/ingress/answer.go
@@ -41,7 +41,7 @@
 	head         *peerpb.Head
 	recordedBody []byte
 	// reservation counts the held bytes against the node's memory budget.
-	reservation *memory.Hold
+	reservation *memory.Reservation
 	// bodySize is the number of body bytes received so far.
 	bodySize int
 	late     lateNotifier
@@ -129,7 +129,7 @@
 // Data implements peer.Sink.
 func (a *answer) Data(b []byte, _ bool) error {
 	a.bodySize += len(b)
-	if a.recordBody && len(a.recordedBody) <= dedupe.KeptBody {
+	if a.recordBody && len(a.recordedBody) <= dedupe.MaxStoredBody {
 		a.recordedBody = append(a.recordedBody, b...)
 	}
 	if a.held != nil && len(a.body)+len(b) <= maxHeldBody && a.reservation.Grow(len(b)) {
@@ -185,7 +185,7 @@
 
 // record returns the answer to store at the key's owner, nil if it is incomplete or too long.
 func (a *answer) record(end *peerpb.End) (*peerpb.Head, []byte) {
-	if !end.GetComplete() || len(a.recordedBody) > dedupe.KeptBody {
+	if !end.GetComplete() || len(a.recordedBody) > dedupe.MaxStoredBody {
 		return nil, nil
 	}
 	return a.head, a.recordedBody
--- a/ingress/arrivals_test.go
+++ b/ingress/arrivals_test.go
@@ -69,8 +69,8 @@
 func egressWith(s *table.State, c contract.Contract) *egress.Egress {
 	log := zerolog.Nop()
 	return egress.New(egress.Config{
-		Host: "h1", Contract: c, ProbeEvery: time.Second, KeyWindow: time.Minute, KeyBytes: 1 << 20,
-		Retries: retry.Share{Slack: 30, Window: time.Nanosecond, Most: 10},
+		Host: "h1", Contract: c, ProbeInterval: time.Second, KeyWindow: time.Minute, KeyBytes: 1 << 20,
+		Retries: retry.FleetSlack{Slack: 30, Window: time.Nanosecond, MaxShare: 10},
 	}, &log, func() *table.State { return s })
 }
 
@@ -130,7 +130,7 @@
 // retryArrivals returns how many retries were dispatched to the endpoints.
 func retryArrivals(e *egress.Egress) (n uint64) {
 	for _, s := range e.Statuses() {
-		n += s.Arrivals.Further
+		n += s.Arrivals.Retries
 	}
 	return n
 }
--- a/ingress/call.go
+++ b/ingress/call.go
@@ -44,7 +44,7 @@
 	fromRetryChance float64
 	timeout         time.Duration
 	// fingerprint identifies what the request asks for; it is the same each time the request is sent.
-	fingerprint poison.Content
+	fingerprint poison.Fingerprint
 	key         string
 	attempt     uint32
 	method      string
@@ -122,13 +122,13 @@
 // in-flight work that the request's id names, or from the route's arrivals if there is none.
 func (g *Ingress) findOrigin(c *call) {
 	work := g.local.Work(contract.ParentOf(c.id))
-	routeOrigin := g.routeStats.countArrival(c.route.Key, work.All == 0)
-	if work.Known {
-		c.fromRetry = work.OfRepeat > 0
+	routeOrigin := g.routeStats.countArrival(c.route.Key, work.Total == 0)
+	if work.ForRequest {
+		c.fromRetry = work.RetryShare > 0
 		return
 	}
 	if routeOrigin == fromEndpoint {
-		c.fromRetryChance = work.OfRepeat
+		c.fromRetryChance = work.RetryShare
 	}
 }
 
--- a/ingress/calls_test.go
+++ b/ingress/calls_test.go
@@ -125,7 +125,7 @@
 		first, retries := uint64(0), uint64(0)
 		for _, st := range e.Statuses() {
 			if st.Endpoint == "b0" {
-				first, retries = first+st.Arrivals.First, retries+st.Arrivals.Further
+				first, retries = first+st.Arrivals.FirstSends, retries+st.Arrivals.Retries
 			}
 		}
 		return fmt.Sprintf("%d, hub: %d first, %d further\n", status, first, retries)
--- a/ingress/exchange.go
+++ b/ingress/exchange.go
@@ -45,7 +45,7 @@
 	winner   *winner
 	refusals *refusals
 	// reservations count the answers of the sends against the node's memory budget.
-	reservations []*memory.Hold
+	reservations []*memory.Reservation
 	// tried are the endpoints that had the request, or refused it for a lasting reason.
 	tried []string
 	// declined are the endpoints that had no free slot, or took only trials, when they were asked in this round.
@@ -75,7 +75,7 @@
 	// hasPermit is set while permit, granted by the customer's rate limit, has not been used by a send that reached an
 	// endpoint.
 	hasPermit bool
-	permit    ratelimit.Pass
+	permit    ratelimit.Permit
 	progress  progress
 	// closeTimer closes progress shortly before the node ends; nil while it is not stopping.
 	closeTimer *time.Timer
@@ -174,13 +174,13 @@
 		return director.Pick{}, true, fault.New(fault.Overloaded, x.call.service.Key, "no endpoint that was asked has capacity in its queue")
 	}
 	opts := x.pickOptions()
-	opts.Least = true
+	opts.ShortestWait = true
 	// A request that has to queue first does so in its own hall.
-	opts.Near = x.waits == 1
-	opts.Tried = slices.Concat(x.tried, x.suspects)
+	opts.LocalHallOnly = x.waits == 1
+	opts.Exclude = slices.Concat(x.tried, x.suspects)
 	pick, err := x.g.director.Pick(ctx, opts)
-	if err != nil && opts.Near {
-		opts.Near = false
+	if err != nil && opts.LocalHallOnly {
+		opts.LocalHallOnly = false
 		pick, err = x.g.director.Pick(ctx, opts)
 	}
 	if err != nil && len(x.suspects) > 0 {
@@ -195,8 +195,8 @@
 	for x.offers < maxOffers {
 		x.offers++
 		opts := x.pickOptions()
-		opts.Free, opts.Near = true, true
-		opts.Tried = slices.Concat(x.tried, x.declined)
+		opts.RequireFreeSlot, opts.LocalHallOnly = true, true
+		opts.Exclude = slices.Concat(x.tried, x.declined)
 		pick, err := x.g.director.Pick(ctx, opts)
 		if err == nil {
 			return pick, true
@@ -208,7 +208,7 @@
 		if x.remoteOffers++; x.remoteOffers > maxRemoteOffers {
 			break
 		}
-		opts.Near = false
+		opts.LocalHallOnly = false
 		if pick, err := x.g.director.Pick(ctx, opts); err == nil {
 			return pick, true
 		}
@@ -218,16 +218,16 @@
 }
 
 // pickOptions returns the requirements that apply to every send of the request.
-func (x *exchange) pickOptions() director.Wish {
-	return director.Wish{
-		Service: x.call.service.Key, Repeatable: x.call.repeatable && x.sends == 0, Tried: x.tried, Again: x.isRetry(),
+func (x *exchange) pickOptions() director.PickOptions {
+	return director.PickOptions{
+		Service: x.call.service.Key, Repeatable: x.call.repeatable && x.sends == 0, Exclude: x.tried, IsRetry: x.isRetry(),
 		Regions: x.call.regions,
 	}
 }
 
 // send makes one send and reports to the director what it showed of the endpoint.
 func (x *exchange) send(ctx context.Context, pick director.Pick, claim *peerpb.Claim, wait bool) *peerpb.End {
-	x.answer.late.begin(func() { x.g.director.Late(x.call.service.Key, pick) })
+	x.answer.late.begin(func() { x.g.director.ReportOverdue(x.call.service.Key, pick) })
 	d := x.buildDispatch(ctx, pick, claim)
 	x.markSend(d, wait)
 	ctx, cancel := context.WithCancel(ctx)
@@ -260,21 +260,21 @@
 
 // reserveMemory gives an answer a reservation in the node's memory budget.
 func (x *exchange) reserveMemory(a *answer) {
-	a.reservation = x.g.budget.Hold(x.call.customer)
+	a.reservation = x.g.budget.NewReservation(x.call.customer)
 	x.reservations = append(x.reservations, a.reservation)
 }
 
 // detachReservations leaves it to sends that outlive the request to release the reservations of their answers.
 func (x *exchange) detachReservations(running []*attempt) {
 	for _, a := range running {
-		x.reservations = slices.DeleteFunc(x.reservations, func(h *memory.Hold) bool { return h == a.answer.reservation })
+		x.reservations = slices.DeleteFunc(x.reservations, func(h *memory.Reservation) bool { return h == a.answer.reservation })
 	}
 }
 
 // releaseReservations releases the reservations of the answers of the ended sends.
 func (x *exchange) releaseReservations() {
 	for _, h := range x.reservations {
-		h.Free()
+		h.Release()
 	}
 }
 
@@ -308,7 +308,7 @@
 		Method: x.call.method, Target: x.call.target, Host: x.call.host, Headers: x.call.headers,
 		BudgetMicros: x.timeLeft(deadline).Microseconds(), Repeatable: x.call.repeatable, Claim: claim,
 		Route: x.call.route.Key, Config: x.call.config,
-		Revision: x.call.revision, LateMicros: pick.Late.Microseconds(), Caller: x.g.cfg.Service,
+		Revision: x.call.revision, LateMicros: pick.OverdueAfter.Microseconds(), Caller: x.g.cfg.Service,
 		Priority: x.call.rank(x.g.snapshot().State), Keyed: x.call.hasCustomerKey, AimMicros: x.latencyTargetLeft().Microseconds(),
 		UsualMicros: x.g.routeStats.medianTime(x.call.route.Key, x.latencyTarget()).Microseconds(), Content: x.call.fingerprint[:],
 	}
@@ -395,13 +395,13 @@
 
 // maxOwnCrashes is how many endpoints may crash on the sends of one request: one more would have it blocked before it
 // comes again.
-const maxOwnCrashes = poison.BarAfter - 1
+const maxOwnCrashes = poison.BlockThreshold - 1
 
 // suspectedPoison reports whether a retry is ruled out because endpoints have crashed under this request: at its own
 // sends, or at earlier ones while an endpoint may have had this one. With a retry, each arrival of such a request would
 // crash two endpoints.
 func (x *exchange) suspectedPoison() bool {
-	return x.reachedEndpoint && x.g.crashes.Ends(x.call.fingerprint) >= poison.SendOnce || x.crashes >= maxOwnCrashes
+	return x.reachedEndpoint && x.g.crashes.Ends(x.call.fingerprint) >= poison.NoRetryThreshold || x.crashes >= maxOwnCrashes
 }
 
 // afterDeclined records an endpoint that declined the request before it was sent, and reports whether to ask another.
@@ -434,9 +434,9 @@
 func (x *exchange) retryAttempt(ctx context.Context, pick director.Pick, end *peerpb.End) retry.Attempt {
 	deadline, _ := ctx.Deadline()
 	return retry.Attempt{
-		Number: x.sends, Most: int(x.call.route.Value.Attempts), Outcome: end.GetOutcome(), Repeatable: x.call.repeatable,
+		Attempts: x.sends, MaxAttempts: int(x.call.route.Value.Attempts), Outcome: end.GetOutcome(), Repeatable: x.call.repeatable,
 		Overloaded: egressFull(end) || fault.Code(end.GetCode()) == fault.EndpointShed,
-		Failed:     x.answer.failed(end), Started: x.answer.started, Replayable: true,
-		Left: time.Until(deadline), Typical: pick.Typical,
+		Failed:     x.answer.failed(end), AnswerStarted: x.answer.started, Replayable: true,
+		TimeLeft: time.Until(deadline), TypicalServiceTime: pick.TypicalLatency,
 	}
 }
--- a/ingress/hedge.go
+++ b/ingress/hedge.go
@@ -48,7 +48,7 @@
 	offset  time.Duration
 	isHedge bool
 	// permit was granted by the customer's rate limit for a hedge.
-	permit ratelimit.Pass
+	permit ratelimit.Permit
 	cancel context.CancelFunc
 	end    *peerpb.End
 }
@@ -101,7 +101,7 @@
 	x := h.x
 	ctx, cancel := context.WithCancel(ctx)
 	a := &attempt{pick: pick, answer: x.newAnswer(), offset: time.Since(x.start), isHedge: isHedge, cancel: cancel}
-	a.answer.late.begin(func() { x.g.director.Late(x.call.service.Key, pick) })
+	a.answer.late.begin(func() { x.g.director.ReportOverdue(x.call.service.Key, pick) })
 	d := x.buildDispatch(ctx, pick, nil)
 	x.markSend(d, wait)
 	d.TellDue = !isHedge
@@ -118,7 +118,7 @@
 func (h *hedgedRequest) startHedge(ctx context.Context) {
 	x := h.x
 	if x.sends+len(h.running)+len(h.completed)+len(h.superseded) >= x.maxSends() || x.refusals.refusing() || !x.adoptConfig() ||
-		x.progress.isClosed() || x.crashes >= maxOwnCrashes || x.g.crashes.Ends(x.call.fingerprint) >= poison.SendOnce {
+		x.progress.isClosed() || x.crashes >= maxOwnCrashes || x.g.crashes.Ends(x.call.fingerprint) >= poison.NoRetryThreshold {
 		return
 	}
 	if len(h.declined) >= maxHedgeOffers {
@@ -126,10 +126,10 @@
 		return
 	}
 	opts := x.pickOptions()
-	opts.Free, opts.Again = true, true
-	opts.Tried = slices.Concat(x.tried, x.declined, h.declined)
+	opts.RequireFreeSlot, opts.IsRetry = true, true
+	opts.Exclude = slices.Concat(x.tried, x.declined, h.declined)
 	for _, a := range h.running {
-		opts.Tried = append(opts.Tried, a.pick.Endpoint.Key)
+		opts.Exclude = append(opts.Exclude, a.pick.Endpoint.Key)
 	}
 	pick, err := x.g.director.Pick(ctx, opts)
 	if err != nil {
@@ -193,7 +193,7 @@
 			for range remaining {
 				a := <-h.finished
 				x.report(a)
-				a.answer.reservation.Free()
+				a.answer.reservation.Release()
 			}
 		}()
 	}
@@ -206,14 +206,14 @@
 	if n := int(x.call.route.Value.Attempts); n > 0 {
 		return n
 	}
-	return retry.MostAttempts
+	return retry.MaxAttempts
 }
 
 // recordAttempt records how a send ended.
 func (x *exchange) recordAttempt(a *attempt) {
 	x.recordEnd(a.end)
 	x.countAsked(a.end)
-	x.trail.add(step{endpoint: a.pick.Endpoint.Key, offset: a.offset, reportAgeMillis: a.pick.SeenMillis, end: a.end})
+	x.trail.add(step{endpoint: a.pick.Endpoint.Key, offset: a.offset, reportAgeMillis: a.pick.ReportAgeMillis, end: a.end})
 	if isEndpointSample(a.end) && !a.answer.failed(a.end) {
 		work := time.Duration(a.end.GetLoad().GetServiceMicros()) * time.Microsecond
 		x.g.routeStats.record(x.call.route.Key, work, len(x.body.data)+a.answer.bodySize)
@@ -228,8 +228,8 @@
 	a.answer.due.end()
 	late := a.answer.late.end()
 	x.g.director.Done(director.Report{
-		Service: x.call.service.Key, Pick: a.pick, WasLate: late, Load: a.end.GetLoad(),
-		Worked: isEndpointSample(a.end) && !a.end.GetLoad().GetTrial(), Failed: a.answer.failed(a.end),
-		Declined: declined(a.end) || misrouted(a.end), Spent: fault.Code(a.end.GetCode()) == fault.RetryBudget,
+		Service: x.call.service.Key, Pick: a.pick, WasOverdue: late, Load: a.end.GetLoad(),
+		Received: isEndpointSample(a.end) && !a.end.GetLoad().GetTrial(), Failed: a.answer.failed(a.end),
+		Refused: declined(a.end) || misrouted(a.end), OutOfRetries: fault.Code(a.end.GetCode()) == fault.RetryBudget,
 	})
 }
--- a/ingress/hedge_test.go
+++ b/ingress/hedge_test.go
@@ -61,7 +61,7 @@
 type crashesBefore int
 
 // Ends implements CrashCounter.
-func (n crashesBefore) Ends(poison.Content) int { return int(n) }
+func (n crashesBefore) Ends(poison.Fingerprint) int { return int(n) }
 
 func endName(end *peerpb.End) string {
 	return strings.TrimSpace(strings.ToLower(strings.TrimPrefix(end.GetOutcome().String(), "OUTCOME_")) + " " + end.GetCode())
@@ -116,7 +116,7 @@
 func (*scriptedEndpoints) Settle(*peerpb.Settle) {}
 
 // Work implements Local.
-func (*scriptedEndpoints) Work(string) inflight.Work { return inflight.Work{} }
+func (*scriptedEndpoints) Work(string) inflight.Snapshot { return inflight.Snapshot{} }
 
 // fleet returns a table with one service, its endpoints, all beside this node, and a route to it.
 func fleet(t *testing.T, endpoints, attempts int) *table.State {
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -47,7 +47,7 @@
 	Settle(s *peerpb.Settle)
 	// Work returns the in-flight work of the endpoints beside this node, or only that for the named request if there is
 	// any.
-	Work(request string) inflight.Work
+	Work(request string) inflight.Snapshot
 }
 
 // Ingress is the handler of the callers' listener.
@@ -80,15 +80,15 @@
 // Limits enforces the customers' rate limits.
 type Limits interface {
 	// Take grants one send of a customer, or returns false and the time after which to retry.
-	Take(ctx context.Context, customer string) (ratelimit.Pass, time.Duration, bool)
+	Take(ctx context.Context, customer string) (ratelimit.Permit, time.Duration, bool)
 }
 
 // unlimited grants every send.
 type unlimited struct{}
 
 // Take implements Limits.
-func (unlimited) Take(context.Context, string) (ratelimit.Pass, time.Duration, bool) {
-	return ratelimit.Pass{}, 0, true
+func (unlimited) Take(context.Context, string) (ratelimit.Permit, time.Duration, bool) {
+	return ratelimit.Permit{}, 0, true
 }
 
 // WithLimits enforces the customers' rate limits with l.
@@ -97,14 +97,14 @@
 // CrashCounter counts the endpoints that crashed, by the request that they were running.
 type CrashCounter interface {
 	// Ends returns how many endpoints crashed while they ran requests with a fingerprint.
-	Ends(c poison.Content) int
+	Ends(c poison.Fingerprint) int
 }
 
 // noCrashes counts no crashes.
 type noCrashes struct{}
 
 // Ends implements CrashCounter.
-func (noCrashes) Ends(poison.Content) int { return 0 }
+func (noCrashes) Ends(poison.Fingerprint) int { return 0 }
 
 // WithCrashCounter refuses requests under which too many endpoints crashed, as counted by c.
 func WithCrashCounter(c CrashCounter) Option { return func(g *Ingress) { g.crashes = c } }
@@ -234,8 +234,8 @@
 		g.refuseEarly(w, r, c.id, end, err.Detail)
 		return end
 	}
-	c.fingerprint = poison.ContentOf(c.customer, c.method, c.route.Value.Host, c.target, body.data)
-	if g.crashes.Ends(c.fingerprint) >= poison.BarAfter {
+	c.fingerprint = poison.FingerprintOf(c.customer, c.method, c.route.Value.Host, c.target, body.data)
+	if g.crashes.Ends(c.fingerprint) >= poison.BlockThreshold {
 		permit.Return()
 		end := peer.NotRun(fault.FatalRequest, 0)
 		events.RequestRefused.Log(g.log).Str("request", c.id).Str("code", end.GetCode()).Str("service", c.service.Key).
@@ -245,7 +245,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), c.timeout)
 	defer cancel()
-	x := &exchange{g: g, start: time.Now(), stopwatch: g.clock.Begin(), call: c, body: body, winner: new(winner), permit: permit, hasPermit: true}
+	x := &exchange{g: g, start: time.Now(), stopwatch: g.clock.StartStopwatch(), call: c, body: body, winner: new(winner), permit: permit, hasPermit: true}
 	x.answer = newAnswer(w, c, g.cfg.Contract, x.winner)
 	x.answer.progress = &x.progress
 	x.reserveMemory(x.answer)
--- a/ingress/keyed.go
+++ b/ingress/keyed.go
@@ -66,7 +66,7 @@
 func (x *exchange) owners(id dedupe.ID) []table.Entry[table.Endpoint] {
 	snap := x.g.snapshot()
 	view, _ := snap.State.Service(x.call.service.Key)
-	names := keyowner.Homes(keyowner.Names(view, func(e table.Endpoint) bool {
+	names := keyowner.Owners(keyowner.Candidates(view, func(e table.Endpoint) bool {
 		return snap.Listed(e.Host) && x.call.regions.Allows(snap.RegionOf(e.Hall))
 	}), id)
 	out := make([]table.Entry[table.Endpoint], 0, len(names))
@@ -105,7 +105,7 @@
 	return &peerpb.Claim{
 		Scope: x.call.scope(), Key: x.call.key, Attempt: x.call.attempt,
 		Fingerprint: x.call.bodyHash(x.body), ClaimOnly: claimOnly, Fence: fence,
-		Regions: x.call.regions.Names(), Bound: x.call.regions.Bound(),
+		Regions: x.call.regions.Names(), Bound: x.call.regions.IsRestricted(),
 	}
 }
 
@@ -143,7 +143,7 @@
 // runAtOwner runs the request at the owner's own endpoint if it takes work, else elsewhere under the owner's grant.
 func (x *exchange) runAtOwner(ctx context.Context, owner table.Entry[table.Endpoint], vouched bool) *peerpb.End {
 	opts := x.pickOptions()
-	opts.Only = owner.Key
+	opts.Pinned = owner.Key
 	pick, err := x.g.director.Pick(ctx, opts)
 	if err == nil {
 		end := x.send(ctx, pick, withVouched(x.claim(false, false), vouched), true)
--- a/ingress/keys_test.go
+++ b/ingress/keys_test.go
@@ -60,7 +60,7 @@
 func (*keyedNode) Settle(*peerpb.Settle) {}
 
 // Work implements Local.
-func (*keyedNode) Work(string) inflight.Work { return inflight.Work{} }
+func (*keyedNode) Work(string) inflight.Snapshot { return inflight.Snapshot{} }
 
 // rows parses lines of "KIND KEY COLUMN=VALUE ..." or "KIND KEY -".
 func (k *keyedNode) rows(lines string, from *table.State) *table.State {
--- a/ingress/lastresort.go
+++ b/ingress/lastresort.go
@@ -61,7 +61,7 @@
 	opts := x.pickOptions()
 	for _, key := range x.declined {
 		if !slices.Contains(x.suspects, key) {
-			opts.Tried = append(slices.Clone(opts.Tried), key)
+			opts.Exclude = append(slices.Clone(opts.Exclude), key)
 		}
 	}
 	pick, err := x.g.director.Pick(ctx, opts)
--- a/ingress/replacement_test.go
+++ b/ingress/replacement_test.go
@@ -42,7 +42,7 @@
 func (*restartedEndpoints) Settle(*peerpb.Settle) {}
 
 // Work implements Local.
-func (*restartedEndpoints) Work(string) inflight.Work { return inflight.Work{} }
+func (*restartedEndpoints) Work(string) inflight.Snapshot { return inflight.Snapshot{} }
 
 // TestReplacementEndpointIsAskedAtOnce sends repeatable and non-repeatable requests to a fleet that has just restarted.
 // Each must be served by the endpoint that took the place of the requested one, at the first try, under an exchange
--- a/ingress/routes.go
+++ b/ingress/routes.go
@@ -24,13 +24,13 @@
 type routeStats struct {
 	mu sync.Mutex
 	// times models the time of the work; sizes averages the bytes of request and answer together.
-	times    *latency.Kinds
+	times    *latency.Models
 	sizes    *simplelru.LRU[string, float64]
 	arrivals *simplelru.LRU[string, arrivals]
 }
 
 func newRouteStats() *routeStats {
-	return &routeStats{times: latency.NewKinds(), sizes: newRouteCache[float64](), arrivals: newRouteCache[arrivals]()}
+	return &routeStats{times: latency.NewModels(), sizes: newRouteCache[float64](), arrivals: newRouteCache[arrivals]()}
 }
 
 // newRouteCache returns a map by route that is bounded by maxRoutes.
@@ -57,7 +57,7 @@
 func (r *routeStats) record(route string, work time.Duration, bytes int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.times.Note(route, work)
+	r.times.Observe(route, work)
 	average, ok := r.sizes.Get(route)
 	if !ok {
 		average = float64(bytes)
@@ -69,7 +69,7 @@
 func (r *routeStats) medianTime(route string, target time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.times.Of(route, target/latencyTargetDivisor).Quantile(median)
+	return r.times.For(route, target/latencyTargetDivisor).Quantile(median)
 }
 
 // typicalTime returns the time that suffices for most of a route's work, or a part of the latency target while there
@@ -77,7 +77,7 @@
 func (r *routeStats) typicalTime(route string, target time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.times.Of(route, target/latencyTargetDivisor).Quantile(workQuantile)
+	return r.times.For(route, target/latencyTargetDivisor).Quantile(workQuantile)
 }
 
 // hallWait returns how long a request waits for a slot in its own hall to save traffic between halls. left is the time
@@ -86,7 +86,7 @@
 func (r *routeStats) hallWait(route string, left time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	model := r.times.Of(route, 0)
+	model := r.times.For(route, 0)
 	size, ok := r.sizes.Peek(route)
 	if !ok || !model.Known() {
 		return 0
--- a/ingress/stop_test.go
+++ b/ingress/stop_test.go
@@ -91,7 +91,7 @@
 func (*stoppingEndpoints) Settle(*peerpb.Settle) {}
 
 // Work implements Local.
-func (*stoppingEndpoints) Work(string) inflight.Work { return inflight.Work{} }
+func (*stoppingEndpoints) Work(string) inflight.Snapshot { return inflight.Snapshot{} }
 
 // TestRequestsDuringStop runs the scenarios of testdata/stop: requests to a node that dispatches nothing any more. The
 // output is what the caller receives, with the retry delay, and each send with how it ended.
--- a/ingress/suspended_test.go
+++ b/ingress/suspended_test.go
@@ -12,7 +12,7 @@
 func TestSuspensionReducesTimeLeft(t *testing.T) {
 	suspended := time.Duration(0)
 	c := clock.Clock(func() time.Time { return time.Now().Add(suspended) })
-	x := &exchange{stopwatch: c.Begin()}
+	x := &exchange{stopwatch: c.StartStopwatch()}
 	deadline := time.Now().Add(4 * time.Second)
 	for _, step := range []struct{ suspended, want time.Duration }{{0, 4 * time.Second}, {3 * time.Second, time.Second}, {9 * time.Second, 0}} {
 		suspended = step.suspended
