--- a/node/config.go
+++ b/node/config.go
@@ -100,8 +100,8 @@
 func (n *Node) ejection() eject.Config {
 	c := n.cfg.Ejection
 	cfg := eject.DefaultConfig()
-	cfg.FirstEjection, cfg.LongestEjection, cfg.Forgive = c.First.Std(), c.Longest.Std(), c.Forgive.Std()
-	cfg.ProbeSuccesses, cfg.RampStep = c.Successes, c.RampStep.Std()
+	cfg.BaseEjectionTime, cfg.MaxEjectionTime, cfg.ForgiveInterval = c.First.Std(), c.Longest.Std(), c.Forgive.Std()
+	cfg.TrickleSuccesses, cfg.RampStep = c.Successes, c.RampStep.Std()
 	return cfg
 }
 
--- a/node/node.go
+++ b/node/node.go
@@ -165,9 +165,9 @@
 		egressOptions = append(egressOptions, egress.WithRegistry(n.announced))
 	}
 	d := director.New(director.Config{
-		Host: n.cfg.Node.ID, Hall: n.cfg.Node.Hall, Choosers: func() []string { return follower.Snapshot().HallHosts },
-		RegionOf: func(hall string) string { return follower.Snapshot().RegionOf(hall) },
-		Distance: hallDistance, Ejection: n.ejection(),
+		Host: n.cfg.Node.ID, Hall: n.cfg.Node.Hall, HallHosts: func() []string { return follower.Snapshot().HallHosts },
+		RegionOf:     func(hall string) string { return follower.Snapshot().RegionOf(hall) },
+		InterHallRTT: hallDistance, Ejection: n.ejection(),
 	}, n.log, follower.State, view.leaving, view.usable)
 	e = egress.New(n.egressConfig(incarnation), n.log, follower.State, egressOptions...)
 	links.Handle(handler{Egress: e, follower: follower, limits: limits, keeper: keeper})
