--- a/director/capacity_test.go
+++ b/director/capacity_test.go
@@ -10,7 +10,8 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// BenchmarkCapacityTick reports the time of one tick by the number of services that the node meets, 32 endpoints each.
+// BenchmarkCapacityTick reports the time of one tick by the number of services that the node tracks, with 32 endpoints
+// each.
 func BenchmarkCapacityTick(b *testing.B) {
 	for _, n := range []int{10, 100, 1300} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -20,7 +21,7 @@
 				d.refresh(now, d.services[key])
 			}
 			for b.Loop() {
-				now = now.Add(tickEvery)
+				now = now.Add(tickInterval)
 				for _, rt := range d.services {
 					rt.usedAt = now
 				}
@@ -30,6 +31,7 @@
 	}
 }
 
+// manyServices returns a director that tracks n services of 32 endpoints each.
 func manyServices(b *testing.B, n int) *Director {
 	b.Helper()
 	var rows []table.Row
@@ -60,11 +62,11 @@
 	return d
 }
 
-// BenchmarkCapacityPick reports the time of one choice, and its report, by the number of the service's endpoints.
+// BenchmarkCapacityPick reports the time of one pick and its report, by the number of the service's endpoints.
 func BenchmarkCapacityPick(b *testing.B) {
 	for _, n := range []int{8, 32, 128, 512} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			d := ownHall(b, n)
+			d := singleHallDirector(b, n)
 			b.ReportAllocs()
 			for b.Loop() {
 				p, err := d.Pick(b.Context(), PickOptions{Service: "desk", RequireFreeSlot: true, LocalHallOnly: true})
@@ -77,12 +79,12 @@
 	}
 }
 
-// BenchmarkCapacityRefresh reports the time in which a node brings its view of a service up, ten times a second while some
-// endpoint of it is not simply serving, by the number of the service's endpoints.
+// BenchmarkCapacityRefresh reports the time in which a node refreshes its view of a service, by the number of the
+// service's endpoints. While some endpoint is not in the serving phase this happens ten times a second.
 func BenchmarkCapacityRefresh(b *testing.B) {
 	for _, n := range []int{8, 32, 128, 512} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			d := ownHall(b, n)
+			d := singleHallDirector(b, n)
 			_ = d.Stop(b.Context())
 			now := time.Now()
 			rt := d.runtimeOf(now, "desk")
--- a/director/director.go
+++ b/director/director.go
@@ -14,51 +14,55 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// Config is what a director needs to know of its node.
+// Config holds the director's settings and what it needs from its node.
 type Config struct {
 	// Host is this node's host.
 	Host string
 	// Hall is the node's hall.
 	Hall string
-	// Choosers returns the hosts of the hall in order, the same list until they are others; nil stands for none.
+	// HallHosts returns the hosts of the node's hall in a fixed order; it returns the same slice until the list
+	// changes. Nil means no hosts.
 	HallHosts func() []string
-	// RegionOf returns the region of a hall, "" for none that is known; nil stands for that.
+	// RegionOf returns the region of a hall, or "" if the region is unknown. Nil means that every region is unknown.
 	RegionOf func(hall string) string
-	// Distance is the time there and back to another hall.
+	// InterHallRTT is the round-trip time to another hall.
 	InterHallRTT time.Duration
-	// Ejection is the policy of ejections but for what a service's row says; the zero value stands for the default.
+	// Ejection is the ejection policy for whatever a service's row leaves open; the zero value means the default
+	// policy.
 	Ejection eject.Config
 }
 
 const (
-	tickEvery   = 100 * time.Millisecond
-	backlog     = 8192
-	forgetAfter = 10 * time.Minute
-	// refreshEvery is how soon a quiet service follows the table and the list of hosts; the egress enforces drains.
-	refreshEvery = 500 * time.Millisecond
+	tickInterval       = 100 * time.Millisecond
+	messageBuffer      = 8192
+	idleServiceTimeout = 10 * time.Minute
+	// refreshInterval is how often a service whose endpoints are all in the serving phase takes over changes of the
+	// table and of the list of hosts. The delay is harmless for drains, because the egress enforces them.
+	refreshInterval = 500 * time.Millisecond
 )
 
-// Director owns the detectors; it is a kernel component.
+// Director owns the detectors of all services; it is a kernel component.
 type Director struct {
-	cfg     Config
-	log     *zerolog.Logger
-	state   func() *table.State
-	leaving func(host string) bool
-	usable  func(host string) bool
+	cfg      Config
+	log      *zerolog.Logger
+	state    func() *table.State
+	draining func(host string) bool
+	usable   func(host string) bool
 
-	views    sync.Map // of *view by service
+	views    sync.Map // service key to *view
 	messages chan message
 	dropped  atomic.Uint64
 	done     chan struct{}
 	stop     context.CancelFunc
 
-	// The control goroutine alone uses what follows.
+	// The fields below belong to the control goroutine.
 
 	services map[string]*runtime
-	// restless is set while some endpoint of some service is not simply serving.
-	restless bool
+	// unsettled is set while some endpoint of some service is in a phase other than serving.
+	unsettled bool
 }
 
+// runtime is the control goroutine's state of one service.
 type runtime struct {
 	key        string
 	detector   *eject.Detector
@@ -67,17 +71,18 @@
 	revision   table.Revisions
 	usedAt     time.Time
 	membership *membership
-	// evacuated are the halls that were evacuated at the last look.
+	// evacuated holds the halls that were evacuated at the last refresh.
 	evacuated map[string]bool
-	// need is how many endpoints of the own hall this node's requests take, as of late.
-	need float64
-	// unsettled is set while some endpoint is not simply serving.
+	// requiredMembers is how many endpoints of the node's own hall its requests need; it decays slowly after a peak.
+	requiredMembers float64
+	// unsettled is set while some endpoint is in a phase other than serving.
 	unsettled   bool
 	refreshedAt time.Time
 }
 
-// New returns a director; leaving and usable tell what the host list and the links say of a host.
-func New(cfg Config, log *zerolog.Logger, state func() *table.State, leaving, usable func(host string) bool) *Director {
+// New returns a director. draining reports whether the host list says that a host drains, usable whether a link to the
+// host works.
+func New(cfg Config, log *zerolog.Logger, state func() *table.State, draining, usable func(host string) bool) *Director {
 	if cfg.Ejection == (eject.Config{}) {
 		cfg.Ejection = eject.DefaultConfig()
 	}
@@ -88,8 +93,8 @@
 		cfg.HallHosts = func() []string { return nil }
 	}
 	d := &Director{
-		cfg: cfg, log: log, state: state, leaving: leaving, usable: usable,
-		messages: make(chan message, backlog), done: make(chan struct{}),
+		cfg: cfg, log: log, state: state, draining: draining, usable: usable,
+		messages: make(chan message, messageBuffer), done: make(chan struct{}),
 		services: make(map[string]*runtime),
 	}
 	return d
@@ -112,55 +117,55 @@
 
 func (d *Director) control(ctx context.Context) {
 	defer close(d.done)
-	tick := time.NewTimer(refreshEvery)
+	tick := time.NewTimer(refreshInterval)
 	defer tick.Stop()
 	for {
-		calm := !d.restless
+		wasSettled := !d.unsettled
 		select {
 		case <-ctx.Done():
 			return
 		case m := <-d.messages:
 			m.apply(d, time.Now())
-			if calm && d.restless {
-				tick.Reset(tickEvery)
+			if wasSettled && d.unsettled {
+				tick.Reset(tickInterval)
 			}
 		case now := <-tick.C:
 			d.tick(now)
-			tick.Reset(d.pause())
+			tick.Reset(d.nextTickDelay())
 		}
 	}
 }
 
-// pause is the time to the next tick: endpoints that are on their way out or back are moved on ten times a second, and while
-// there is none nothing waits for the time.
-func (d *Director) pause() time.Duration {
-	if d.restless {
-		return tickEvery
+// nextTickDelay returns the time until the next tick. Endpoints that are being ejected or are returning change phase
+// with time and need ten ticks a second; without such endpoints no phase depends on the time.
+func (d *Director) nextTickDelay() time.Duration {
+	if d.unsettled {
+		return tickInterval
 	}
-	return refreshEvery
+	return refreshInterval
 }
 
 func (d *Director) tick(now time.Time) {
 	if n := d.dropped.Swap(0); n > 0 {
 		events.ReportsDropped.Log(d.log).Uint64("count", n).Send()
 	}
-	calm := !d.restless
-	d.restless = false
+	wasSettled := !d.unsettled
+	d.unsettled = false
 	for key, rt := range d.services {
-		if now.Sub(rt.usedAt) > forgetAfter {
+		if now.Sub(rt.usedAt) > idleServiceTimeout {
 			delete(d.services, key)
 			d.publish(key, nil)
 			continue
 		}
 		rt.detector.Tick(now)
-		if calm || rt.unsettled || now.Sub(rt.refreshedAt) >= refreshEvery {
+		if wasSettled || rt.unsettled || now.Sub(rt.refreshedAt) >= refreshInterval {
 			d.refresh(now, rt)
 		}
-		d.restless = d.restless || rt.unsettled
+		d.unsettled = d.unsettled || rt.unsettled
 	}
 }
 
-// runtimeOf returns the service's runtime, nil for a service that is not in the table.
+// runtimeOf returns the runtime of a service, creating it on first use, or nil if the service is not in the table.
 func (d *Director) runtimeOf(now time.Time, key string) *runtime {
 	rt := d.services[key]
 	if rt == nil {
@@ -177,13 +182,14 @@
 	return rt
 }
 
-func (d *Director) published(key string) *view {
+// loadView returns the published view of a service, or nil if there is none.
+func (d *Director) loadView(key string) *view {
 	found, _ := d.views.Load(key)
 	v, _ := found.(*view)
 	return v
 }
 
-// publish replaces one service's view; nil takes it out.
+// publish replaces the view of a service; nil removes it.
 func (d *Director) publish(key string, v *view) {
 	if v == nil {
 		d.views.Delete(key)
@@ -192,12 +198,12 @@
 	d.views.Store(key, v)
 }
 
-// message is one event for the control goroutine.
+// message is an event that the control goroutine applies to the director's state.
 type message interface {
 	apply(d *Director, now time.Time)
 }
 
-// send hands a message to the control goroutine; when it lags, the message is counted and dropped.
+// send queues a message for the control goroutine. If the queue is full, the message is dropped and counted.
 func (d *Director) send(m message) {
 	select {
 	case d.messages <- m:
@@ -206,24 +212,26 @@
 	}
 }
 
-type meetMessage struct {
+// trackMessage asks the control goroutine to start tracking a service and to publish its view.
+type trackMessage struct {
 	service string
 	done    chan struct{}
 }
 
-func (m meetMessage) apply(d *Director, now time.Time) {
+func (m trackMessage) apply(d *Director, now time.Time) {
 	defer close(m.done)
 	if rt := d.runtimeOf(now, m.service); rt != nil {
 		d.refresh(now, rt)
 	}
 }
 
-// view returns the service's view, after the control goroutine has met the service if need be.
+// view returns the view of a service. On the first use of a service it waits until the control goroutine has created
+// the view.
 func (d *Director) view(ctx context.Context, service string) (*view, error) {
-	if v := d.published(service); v != nil {
+	if v := d.loadView(service); v != nil {
 		return v, nil
 	}
-	m := meetMessage{service: service, done: make(chan struct{})}
+	m := trackMessage{service: service, done: make(chan struct{})}
 	select {
 	case d.messages <- m:
 	case <-ctx.Done():
@@ -234,7 +242,7 @@
 	case <-ctx.Done():
 	case <-d.done:
 	}
-	if v := d.published(service); v != nil {
+	if v := d.loadView(service); v != nil {
 		return v, nil
 	}
 	return nil, fault.New(fault.NoEndpoint, service, "no such service")
--- a/director/evacuated_test.go
+++ b/director/evacuated_test.go
@@ -12,8 +12,9 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// hallsState returns a state of a service with some endpoints in each of some halls, a few of which are evacuated.
-func hallsState(t testing.TB, halls, each int, evacuated ...int) *table.State {
+// stateWithHalls returns a state of one service with the given number of endpoints in each hall; some halls are
+// evacuated.
+func stateWithHalls(t testing.TB, halls, each int, evacuated ...int) *table.State {
 	t.Helper()
 	service, err := table.NewRow(table.KindService, "desk", []string{"90%"})
 	if err != nil {
@@ -40,8 +41,8 @@
 	return s
 }
 
-// directorIn returns a started director of a host in hall-0.
-func directorIn(t testing.TB, state func() *table.State) *Director {
+// startDirector returns a started director of a host in hall-0.
+func startDirector(t testing.TB, state func() *table.State) *Director {
 	t.Helper()
 	log := zerolog.Nop()
 	d := New(Config{Host: "h0-00", Hall: "hall-0", HallHosts: func() []string { return []string{"h0-00", "h0-01"} }}, &log, state,
@@ -53,8 +54,9 @@
 	return d
 }
 
-// TestEvacuatedHallsGetNothing evacuates the own hall, another, two of three and all: no request is sent there, as many endpoints of the
-// others are chosen as there are, also for a request that names an endpoint, and where none is left that is said at once.
+// TestEvacuatedHallsGetNothing evacuates the own hall, another hall, two of three halls and all halls. No request may
+// go to an evacuated hall, not even one that is pinned to an endpoint there. The members must be made up from the
+// remaining halls, and if none is left, the pick must fail with NoEndpoint.
 func TestEvacuatedHallsGetNothing(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -62,11 +64,11 @@
 		want      int
 	}{{"own", []int{0}, 40}, {"another", []int{1}, 40}, {"two", []int{0, 2}, 20}, {"all", []int{0, 1, 2}, 0}} {
 		t.Run(c.name, func(t *testing.T) {
-			s := hallsState(t, 3, 20, c.evacuated...)
-			d := directorIn(t, func() *table.State { return s })
+			s := stateWithHalls(t, 3, 20, c.evacuated...)
+			d := startDirector(t, func() *table.State { return s })
 			seen := make(map[string]bool)
 			for range 2000 {
-				p, got := picked(t, d, PickOptions{})
+				p, got := pickKey(t, d, PickOptions{})
 				if got == string(fault.NoEndpoint) {
 					break
 				}
@@ -76,21 +78,22 @@
 				seen[got] = true
 				d.Done(Report{Service: "desk", Pick: p})
 			}
-			if got, least := len(seen), min(c.want, nearMembers); got < least {
-				t.Errorf("endpoints picked: got %d, want at least %d", got, least)
+			if got, limit := len(seen), min(c.want, localMembers); got < limit {
+				t.Errorf("endpoints picked: got %d, want at least %d", got, limit)
 			}
 			for _, h := range c.evacuated {
-				if _, got := picked(t, d, PickOptions{Pinned: fmt.Sprintf("e-h%d-07", h)}); got != string(fault.NoEndpoint) {
-					t.Errorf("one that is asked for by name: got %s, want %s", got, fault.NoEndpoint)
+				if _, got := pickKey(t, d, PickOptions{Pinned: fmt.Sprintf("e-h%d-07", h)}); got != string(fault.NoEndpoint) {
+					t.Errorf("pinned to an endpoint of an evacuated hall: got %s, want %s", got, fault.NoEndpoint)
 				}
 			}
 		})
 	}
 }
 
-// TestExplainNamesTheEvacuation checks that an explanation says whose word keeps work from an endpoint, and since when.
+// TestExplainNamesTheEvacuation checks that the explanation of an endpoint in an evacuated hall tells who ordered the
+// evacuation and when.
 func TestExplainNamesTheEvacuation(t *testing.T) {
-	s := hallsState(t, 2, 2)
+	s := stateWithHalls(t, 2, 2)
 	row := table.Encode(table.KindHall, "hall-1", table.Meta{Revision: 2}, table.Hall{Evacuated: true, Since: 7000, By: "ann"})
 	next, err := s.With(table.Delta{From: 1, To: 2, Rows: []table.Row{row}})
 	if err != nil {
@@ -98,8 +101,8 @@
 	}
 	var state atomic.Pointer[table.State]
 	state.Store(next)
-	d := directorIn(t, state.Load)
-	picked(t, d, PickOptions{})
+	d := startDirector(t, state.Load)
+	pickKey(t, d, PickOptions{})
 	for _, e := range d.Explain("desk") {
 		in := e.Endpoint == "e-h1-00" || e.Endpoint == "e-h1-01"
 		if e.Evacuated != in || e.Open == in || in && (e.EvacuatedBy != "ann" || e.EvacuatedSince.UnixMilli() != 7000) {
--- a/director/members.go
+++ b/director/members.go
@@ -8,48 +8,49 @@
 )
 
 const (
-	// nearMembers is how many endpoints of its own hall a node sends a service's requests to, farMembers how many of the other
-	// halls' together. With fewer a node finds too few that are not under suspicion; with more its evidence is thin and its links
-	// are many (docs/design/0011).
-	nearMembers = 16
-	farMembers  = 8
-	// workShare is the most of its near members' slots that a node's own requests take before it sends to more of them.
-	workShare = 0.5
-	// workMemory is how much of an earlier need for members is left at the next look.
-	workMemory = 0.98
+	// localMembers is how many endpoints of its own hall a node sends a service's requests to, and remoteMembers how
+	// many of all other halls together. With fewer members a node finds too few that are not suspect; with more, it has
+	// too few observations of each and too many links (docs/design/0011).
+	localMembers  = 16
+	remoteMembers = 8
+	// maxMemberLoad is the share of the local members' slots that a node's own requests may take before the node adds
+	// members.
+	maxMemberLoad = 0.5
+	// requiredDecay is the factor by which an earlier number of required members decays at each refresh.
+	requiredDecay = 0.98
 )
 
-// membership is which of a service's endpoints this node sends to; it is worked out anew when the endpoints or the hosts of the
-// hall are others.
+// membership is the selection of a service's endpoints that this node sends requests to. It is recomputed when the
+// endpoints or the hosts of the hall change.
 type membership struct {
-	// endpoints and choosers are what it was worked out from.
+	// endpoints and nodes are the inputs that the membership was computed from; nodes are the hosts of the hall.
 	endpoints []table.Entry[table.Endpoint]
-	choosers  []string
-	// near and far are the places of the own hall's and of the other halls' endpoints, those that are chosen first and the
-	// others in the order in which they follow; nearCount and farCount are how many are chosen.
-	near, far           []int
-	nearCount, farCount int
+	nodes     []string
+	// local and remote are the indexes of the endpoints of the node's own hall and of the other halls, in order of
+	// preference. The first localCount and remoteCount of them are selected; the rest are the replacements.
+	local, remote           []int
+	localCount, remoteCount int
 }
 
-// fits tells whether the membership still follows from what it was worked out from.
-func (m *membership) fits(endpoints []table.Entry[table.Endpoint], choosers []string) bool {
-	if m == nil || !same(m.choosers, choosers) && !slices.Equal(m.choosers, choosers) {
+// upToDate reports whether the membership still matches its inputs.
+func (m *membership) upToDate(endpoints []table.Entry[table.Endpoint], nodes []string) bool {
+	if m == nil || !sameSlice(m.nodes, nodes) && !slices.Equal(m.nodes, nodes) {
 		return false
 	}
-	return same(m.endpoints, endpoints) ||
+	return sameSlice(m.endpoints, endpoints) ||
 		slices.EqualFunc(m.endpoints, endpoints, func(a, b table.Entry[table.Endpoint]) bool {
 			return a.Key == b.Key && a.Value.Hall == b.Value.Hall && a.Value.Host == b.Value.Host
 		})
 }
 
-// same tells whether two lists are one, which needs no look at what they hold.
-func same[T any](a, b []T) bool { return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0]) }
+// sameSlice reports whether two slices share their memory, which spares comparing the elements.
+func sameSlice[T any](a, b []T) bool { return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0]) }
 
-// newMembership works out which endpoints a host sends to.
+// newMembership selects the endpoints that a host sends requests to.
 //
-// Invariant: a host's own endpoints are always chosen, so that none is without a chooser.
-func newMembership(self, hall string, choosers []string, endpoints []table.Entry[table.Endpoint]) *membership {
-	m := &membership{endpoints: endpoints, choosers: choosers}
+// Invariant: endpoints on the host itself are always selected, so that every endpoint is selected by at least one node.
+func newMembership(self, hall string, nodes []string, endpoints []table.Entry[table.Endpoint]) *membership {
+	m := &membership{endpoints: endpoints, nodes: nodes}
 	byHall := make(map[string][]int)
 	var halls []string
 	for i, e := range endpoints {
@@ -59,20 +60,20 @@
 		byHall[e.Value.Hall] = append(byHall[e.Value.Hall], i)
 	}
 	slices.Sort(halls)
-	m.near, m.nearCount = m.choose(self, byHall[hall], nearMembers)
-	m.nearCount = m.ownFirst(self)
+	m.local, m.localCount = m.rank(self, byHall[hall], localMembers)
+	m.localCount = m.promoteColocated(self)
 	halls = slices.DeleteFunc(halls, func(h string) bool { return h == hall })
-	m.addFar(self, halls, byHall)
+	m.addRemote(self, halls, byHall)
 	return m
 }
 
-// choose returns places in the order of preference, and how many of them are chosen.
-func (m *membership) choose(self string, places []int, size int) ([]int, int) {
-	keys := make([]string, len(places))
-	for i, p := range places {
-		keys[i] = m.endpoints[p].Key
+// rank returns the given indexes in order of preference, and how many of them are selected.
+func (m *membership) rank(self string, indexes []int, size int) ([]int, int) {
+	keys := make([]string, len(indexes))
+	for i, index := range indexes {
+		keys[i] = m.endpoints[index].Key
 	}
-	order := subset.Choose(m.choosers, self, keys, size)
+	order := subset.Choose(m.nodes, self, keys, size)
 	count := len(order)
 	for _, i := range subset.Order(self, keys) {
 		if !slices.Contains(order[:count], i) {
@@ -80,72 +81,75 @@
 		}
 	}
 	for n, i := range order {
-		order[n] = places[i]
+		order[n] = indexes[i]
 	}
 	return order, count
 }
 
-// ownFirst brings the endpoints beside this node to the front and returns how many near ones are chosen with them.
-func (m *membership) ownFirst(self string) int {
-	count := m.nearCount
-	for n, i := range m.near {
+// promoteColocated moves the endpoints on this host to the front of the local ones and returns the number of selected
+// local endpoints including them.
+func (m *membership) promoteColocated(self string) int {
+	count := m.localCount
+	for n, i := range m.local {
 		if m.endpoints[i].Value.Host != self {
 			continue
 		}
 		if n >= count {
 			count++
 		}
-		m.near = slices.Insert(slices.Delete(m.near, n, n+1), 0, i)
+		m.local = slices.Insert(slices.Delete(m.local, n, n+1), 0, i)
 	}
 	return count
 }
 
-// addFar takes the other halls' endpoints in turn, a hall's share of the chosen ones each, then the rest.
-func (m *membership) addFar(self string, halls []string, byHall map[string][]int) {
+// addRemote selects an equal share of endpoints from each of the other halls. The replacements follow, one hall after
+// the other in turn.
+func (m *membership) addRemote(self string, halls []string, byHall map[string][]int) {
 	if len(halls) == 0 {
 		return
 	}
-	share := (farMembers + len(halls) - 1) / len(halls)
+	share := (remoteMembers + len(halls) - 1) / len(halls)
 	var rest [][]int
 	for _, h := range halls {
-		order, count := m.choose(self, byHall[h], share)
-		m.far = append(m.far, order[:count]...)
+		order, count := m.rank(self, byHall[h], share)
+		m.remote = append(m.remote, order[:count]...)
 		rest = append(rest, order[count:])
 	}
-	m.farCount = len(m.far)
+	m.remoteCount = len(m.remote)
 	for n, more := 0, true; more; n++ {
 		more = false
 		for _, list := range rest {
 			if n < len(list) {
-				m.far = append(m.far, list[n])
+				m.remote = append(m.remote, list[n])
 				more = true
 			}
 		}
 	}
 }
 
-// members returns the places of the endpoints to send to: those that are chosen and, for each of them that is not open, the
-// next one that is. A hall that has too few open endpoints of its own is made up for from the others. Need is how many near
-// ones this node's requests take.
-func (m *membership) members(need int, open func(i int) bool) []int {
-	out, found := extend(nil, m.near, m.nearCount, max(m.nearCount, min(need, len(m.near))), open)
-	missing := max(0, max(need, nearMembers)-found)
-	out, _ = extend(out, m.far, m.farCount, m.farCount+missing, open)
+// members returns the indexes of the endpoints to send requests to: the selected ones, plus the next available endpoint
+// for each selected one that is unavailable. If the own hall has too few available endpoints, other halls make up the
+// difference. required is how many local endpoints this node's requests need.
+func (m *membership) members(required int, available func(i int) bool) []int {
+	out, found := appendAvailable(nil, m.local, m.localCount, max(m.localCount, min(required, len(m.local))), available)
+	missing := max(0, max(required, localMembers)-found)
+	out, _ = appendAvailable(out, m.remote, m.remoteCount, m.remoteCount+missing, available)
 	return out
 }
 
-// extend appends the first count of a list, and more of it until so many of them as wanted are open; it returns how many are.
-func extend(out, list []int, count, want int, open func(i int) bool) ([]int, int) {
+// appendAvailable appends the first count entries of list, and further available entries until out has gained wanted
+// available ones. It also returns how many available entries it appended.
+func appendAvailable(out, list []int, count, wanted int, available func(i int) bool) ([]int, int) {
 	found := 0
 	for n, i := range list {
-		if n >= count && found >= want {
+		if n >= count && found >= wanted {
 			break
 		}
-		isOpen := open(i)
-		if n >= count && !isOpen {
+		isAvailable := available(i)
+		if n >= count && !isAvailable {
 			continue
 		}
-		if isOpen {
+		if isAvailable {
 			found++
 		}
 		out = append(out, i)
--- a/director/members_test.go
+++ b/director/members_test.go
@@ -16,7 +16,7 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// fleet is drawn halls of hosts with an endpoint of one service beside some of them.
+// fleet is a random fleet: halls of hosts, some of which have an endpoint of the service.
 type fleet struct {
 	hosts     map[string][]string
 	endpoints []table.Entry[table.Endpoint]
@@ -27,11 +27,11 @@
 	for h := range rapid.IntRange(1, 6).Draw(t, "halls") {
 		hall := fmt.Sprintf("hall-%d", h)
 		hosts := rapid.IntRange(1, 90).Draw(t, "hosts")
-		with := rapid.IntRange(0, hosts).Draw(t, "endpoints")
+		endpoints := rapid.IntRange(0, hosts).Draw(t, "endpoints")
 		for i := range hosts {
 			host := fmt.Sprintf("%s-%03d", hall, i)
 			f.hosts[hall] = append(f.hosts[hall], host)
-			if i < with {
+			if i < endpoints {
 				f.endpoints = append(f.endpoints, entryOf(host, hall))
 			}
 		}
@@ -45,35 +45,36 @@
 	}
 }
 
-func always(int) bool { return true }
+func alwaysAvailable(int) bool { return true }
 
-// members returns the places of the endpoints that each host sends to.
-func (f fleet) members(open func(i int) bool) map[string][]int {
-	out := make(map[string][]int)
+// members returns the indexes of the endpoints that each host sends requests to.
+func (f fleet) members(available func(i int) bool) map[string][]int {
+	result := make(map[string][]int)
 	for hall, hosts := range f.hosts {
 		for _, host := range hosts {
-			out[host] = newMembership(host, hall, hosts, f.endpoints).members(0, open)
+			result[host] = newMembership(host, hall, hosts, f.endpoints).members(0, available)
 		}
 	}
-	return out
+	return result
 }
 
-// TestMembersAreBoundedAndComplete draws fleets: each host sends to a bounded number of different endpoints, to its own among
-// them, and to as many as there are where there are few.
+// TestMembersAreBoundedAndComplete checks for random fleets that each host selects a bounded number of different
+// endpoints, with its own among them, and all endpoints if there are few.
 func TestMembersAreBoundedAndComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := drawFleet(t)
-		for host, members := range f.members(always) {
+		for host, members := range f.members(alwaysAvailable) {
 			unique := slices.Compact(slices.Sorted(slices.Values(members)))
 			if got, want := len(unique), len(members); got != want {
 				t.Fatalf("different members of %s: got %d, want %d", host, got, want)
 			}
-			// Five halls share the far members evenly, rounded up, and one endpoint beside the node may come on top.
-			if got, most := len(members), nearMembers+farMembers+5; got > most {
-				t.Fatalf("members of %s: got %d, want at most %d", host, got, most)
+			// Five other halls share the remote members evenly, rounded up, and the endpoint on the host itself may
+			// come in addition.
+			if got, limit := len(members), localMembers+remoteMembers+5; got > limit {
+				t.Fatalf("members of %s: got %d, want at most %d", host, got, limit)
 			}
-			if got, least := len(members), min(nearMembers, len(f.endpoints)); got < least {
-				t.Fatalf("members of %s: got %d, want at least %d", host, got, least)
+			if got, limit := len(members), min(localMembers, len(f.endpoints)); got < limit {
+				t.Fatalf("members of %s: got %d, want at least %d", host, got, limit)
 			}
 			own := slices.IndexFunc(f.endpoints, func(e table.Entry[table.Endpoint]) bool { return e.Value.Host == host })
 			if own >= 0 && !slices.Contains(members, own) {
@@ -83,37 +84,38 @@
 	})
 }
 
-// TestClosedMembersAreMadeUpFor closes drawn endpoints, whole halls among them: each host still sends to as many open ones as
-// before, as long as there are any.
-func TestClosedMembersAreMadeUpFor(t *testing.T) {
+// TestClosedMembersAreReplaced makes random endpoints unavailable, and in some fleets a whole hall: each host must
+// still select as many available endpoints as before, if there are enough.
+func TestClosedMembersAreReplaced(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := drawFleet(t)
-		hallGone := rapid.Bool().Draw(t, "a hall gone")
+		hallUnavailable := rapid.Bool().Draw(t, "hall unavailable")
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
-		closed := make([]bool, len(f.endpoints))
-		left := 0
+		unavailable := make([]bool, len(f.endpoints))
+		remaining := 0
 		for i, e := range f.endpoints {
-			closed[i] = random.IntN(3) == 0 || hallGone && e.Value.Hall == "hall-0"
-			if !closed[i] {
-				left++
+			unavailable[i] = random.IntN(3) == 0 || hallUnavailable && e.Value.Hall == "hall-0"
+			if !unavailable[i] {
+				remaining++
 			}
 		}
-		for host, members := range f.members(func(i int) bool { return !closed[i] }) {
-			open := 0
+		for host, members := range f.members(func(i int) bool { return !unavailable[i] }) {
+			available := 0
 			for _, i := range members {
-				if !closed[i] {
-					open++
+				if !unavailable[i] {
+					available++
 				}
 			}
-			if got, least := open, min(nearMembers, left); got < least {
-				t.Fatalf("open members of %s: got %d, want at least %d", host, got, least)
+			if got, limit := available, min(localMembers, remaining); got < limit {
+				t.Fatalf("available members of %s: got %d, want at least %d", host, got, limit)
 			}
 		}
 	})
 }
 
-// TestBusyNodeSendsToMore checks that a node whose own requests fill its members' slots sends to more of the hall.
-func TestBusyNodeSendsToMore(t *testing.T) {
+// TestBusyNodeAddsMembers checks that a node whose own requests fill its members' slots sends requests to more
+// endpoints of its hall.
+func TestBusyNodeAddsMembers(t *testing.T) {
 	var f fleet
 	f.hosts = map[string][]string{"hall-0": nil}
 	for i := range 60 {
@@ -122,15 +124,16 @@
 		f.endpoints = append(f.endpoints, entryOf(host, "hall-0"))
 	}
 	m := newMembership("hall-0-000", "hall-0", f.hosts["hall-0"], f.endpoints)
-	for _, c := range []struct{ need, want int }{{0, nearMembers}, {10, nearMembers}, {40, 40}, {100, 60}} {
-		if got := len(m.members(c.need, always)); got < c.want || got > c.want+1 {
-			t.Errorf("members for a need of %d: got %d, want %d, or one more for its own", c.need, got, c.want)
+	for _, c := range []struct{ required, want int }{{0, localMembers}, {10, localMembers}, {40, 40}, {100, 60}} {
+		if got := len(m.members(c.required, alwaysAvailable)); got < c.want || got > c.want+1 {
+			t.Errorf("members when %d are required: got %d, want %d, or one more for the host's own endpoint", c.required, got, c.want)
 		}
 	}
 }
 
-// TestFloorHoldsOverSubsets gives every host of a hall drawn work of its members and a detector of its own: the capacity that
-// all choosers of it have ejected is at most what the floor allows of the whole, by as much as choosers are uneven.
+// TestFloorHoldsOverSubsets checks the floor when each host ejects only among its own members. Every host of a hall
+// gets random work of its members and a detector of its own. The capacity that all hosts sending to it have ejected may
+// exceed what the floor allows of the whole only by the unevenness of the numbers of hosts per endpoint.
 func TestFloorHoldsOverSubsets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(20, 60).Draw(t, "hosts")
@@ -147,31 +150,31 @@
 		for i := range failing {
 			failing[i] = random.Float64() < bad
 		}
-		choosers, ejectors := make([]int, n), make([]int, n)
-		for _, members := range f.members(always) {
+		senders, ejectors := make([]int, n), make([]int, n)
+		for _, members := range f.members(alwaysAvailable) {
 			s := detectorOf(f, members, failing, floor, random)
 			for _, i := range members {
-				choosers[i]++
+				senders[i]++
 				if p := s.Verdict(f.endpoints[i].Key).Phase; p == eject.Ejected || p == eject.Trickle {
 					ejectors[i]++
 				}
 			}
 		}
-		out, pairs := 0, 0
-		for i := range choosers {
-			pairs += choosers[i]
-			if ejectors[i] == choosers[i] {
-				out++
+		ejectedByAll, pairs := 0, 0
+		for i := range senders {
+			pairs += senders[i]
+			if ejectors[i] == senders[i] {
+				ejectedByAll++
 			}
 		}
-		uneven := float64(pairs) / float64(n) / float64(slices.Min(choosers))
-		if got, most := float64(out), (1-floor)*float64(n)*uneven+1e-9; got > most {
-			t.Fatalf("endpoints ejected by all their choosers: got %v of %d, want at most %v", got, n, most)
+		uneven := float64(pairs) / float64(n) / float64(slices.Min(senders))
+		if got, limit := float64(ejectedByAll), (1-floor)*float64(n)*uneven+1e-9; got > limit {
+			t.Fatalf("endpoints ejected by all hosts that send to them: got %v of %d, want at most %v", got, n, limit)
 		}
 	})
 }
 
-// detectorOf returns a host's detector after some work of its members.
+// detectorOf returns a host's detector after random work of its members.
 func detectorOf(f fleet, members []int, failing []bool, floor float64, random *rand.Rand) *eject.Detector {
 	s := eject.NewDetector(eject.DefaultConfig().With(1, floor))
 	now := time.Unix(0, 0)
@@ -182,19 +185,19 @@
 	s.SetEndpoints(now, list)
 	for range 300 {
 		i := members[random.IntN(len(members))]
-		ev := eject.Observation{Kind: eject.Success, Latency: 5 * time.Millisecond}
+		o := eject.Observation{Kind: eject.Success, Latency: 5 * time.Millisecond}
 		if failing[i] {
-			ev.Kind = eject.Failure
+			o.Kind = eject.Failure
 		}
 		now = now.Add(20 * time.Millisecond)
-		s.Observe(now, f.endpoints[i].Key, ev)
+		s.Observe(now, f.endpoints[i].Key, o)
 		s.Tick(now)
 	}
 	return s
 }
 
-// ownHall returns a started director of host h001 in a hall of n hosts, an endpoint of two slots beside each.
-func ownHall(t testing.TB, n int) *Director {
+// singleHallDirector returns a started director of host h001 in a hall of n hosts, each with an endpoint of two slots.
+func singleHallDirector(t testing.TB, n int) *Director {
 	t.Helper()
 	service, err := table.NewRow(table.KindService, "desk", nil)
 	if err != nil {
@@ -225,47 +228,47 @@
 	return d
 }
 
-// TestOwnEndpointComesFirst checks that a request goes to the endpoint beside the node while that is less than half full, but
-// for the share that is drawn, and to others from then on.
-func TestOwnEndpointComesFirst(t *testing.T) {
-	d := ownHall(t, 40)
+// TestColocatedEndpointIsPreferred checks that requests go to the endpoint on the node's own host while it is less than
+// half full, but for the share that is balanced over all endpoints, and to other endpoints from then on.
+func TestColocatedEndpointIsPreferred(t *testing.T) {
+	d := singleHallDirector(t, 40)
 	const tries = 200
-	own := 0
+	colocated := 0
 	for range tries {
-		p, got := picked(t, d, PickOptions{RequireFreeSlot: true, LocalHallOnly: true})
+		p, got := pickKey(t, d, PickOptions{RequireFreeSlot: true, LocalHallOnly: true})
 		if got == "e-h001" {
-			own++
+			colocated++
 		}
 		d.Done(Report{Service: "desk", Pick: p})
 	}
-	if got, least := own, tries*3/4; got < least {
-		t.Errorf("requests to the own endpoint, of %d one after the other: got %d, want at least %d", tries, got, least)
+	if got, limit := colocated, tries*3/4; got < limit {
+		t.Errorf("sequential requests to the co-located endpoint, of %d: got %d, want at least %d", tries, got, limit)
 	}
 	held := 0
 	for range 10 {
-		if _, got := picked(t, d, PickOptions{RequireFreeSlot: true, LocalHallOnly: true}); got == "e-h001" {
+		if _, got := pickKey(t, d, PickOptions{RequireFreeSlot: true, LocalHallOnly: true}); got == "e-h001" {
 			held++
 		}
 	}
-	if got, most := held, 2; got > most {
-		t.Errorf("requests that the own endpoint of two slots holds at once: got %d, want at most %d", got, most)
+	if got, limit := held, 2; got > limit {
+		t.Errorf("requests that the co-located endpoint of two slots holds at once: got %d, want at most %d", got, limit)
 	}
 }
 
-// TestOnlyReachesBeyondTheMembers checks that a key's home is found although this node would not choose it, and an endpoint
-// that does not exist is not.
-func TestOnlyReachesBeyondTheMembers(t *testing.T) {
-	d := ownHall(t, 60)
+// TestPinnedEndpointNeedNotBeAMember checks that a request can be pinned to any endpoint of the service, such as a
+// key's owner, and not to an endpoint that does not exist.
+func TestPinnedEndpointNeedNotBeAMember(t *testing.T) {
+	d := singleHallDirector(t, 60)
 	for i := 1; i <= 60; i++ {
 		key := fmt.Sprintf("e-h%03d", i)
-		if _, got := picked(t, d, PickOptions{Pinned: key}); got != key {
-			t.Errorf("only %s: got %s", key, got)
+		if _, got := pickKey(t, d, PickOptions{Pinned: key}); got != key {
+			t.Errorf("pinned to %s: got %s", key, got)
 		}
 		if got, want := d.EligibleOwner(t.Context(), "desk", key), true; got != want {
-			t.Errorf("%s may be a home: got %v, want %v", key, got, want)
+			t.Errorf("%s is an eligible owner: got %v, want %v", key, got, want)
 		}
 	}
-	if _, got := picked(t, d, PickOptions{Pinned: "e-none"}); got != string(fault.NoEndpoint) {
-		t.Errorf("only an endpoint that does not exist: got %s, want %s", got, fault.NoEndpoint)
+	if _, got := pickKey(t, d, PickOptions{Pinned: "e-none"}); got != string(fault.NoEndpoint) {
+		t.Errorf("pinned to an endpoint that does not exist: got %s, want %s", got, fault.NoEndpoint)
 	}
 }
--- a/director/pick.go
+++ b/director/pick.go
@@ -15,100 +15,104 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// Wish is what a request asks of its endpoint.
+// PickOptions restricts the choice of an endpoint for a request.
 type PickOptions struct {
 	// Service is the service's key.
 	Service string
-	// Repeatable requests may try an endpoint that is on trial.
+	// Repeatable allows an endpoint in the trickle phase, as a trial.
 	Repeatable bool
-	// Tried are the endpoints that were tried before.
+	// Exclude holds the keys of the endpoints that must not be picked, such as those that have already been tried. If
+	// it holds any, the pick is no trial.
 	Exclude []string
-	// Only restricts the choice to one endpoint.
+	// Pinned restricts the choice to the endpoint with this key, which need not be a member.
 	Pinned string
-	// Free restricts the choice to endpoints that seem to have a free slot and to take such requests.
+	// RequireFreeSlot restricts the choice to endpoints that seem to have a free slot and have not just refused such a
+	// request.
 	RequireFreeSlot bool
-	// Again is set for a further send of a request, which takes from the endpoint's retries.
+	// IsRetry is set for a retry, which uses up the endpoint's retry budget.
 	IsRetry bool
-	// Near restricts the choice to the own hall.
+	// LocalHallOnly restricts the choice to the node's own hall.
 	LocalHallOnly bool
-	// Regions are those in which the request's data may be.
+	// Regions are the regions in which the request's data may be.
 	Regions region.Set
-	// Least asks for the endpoint with the shortest wait instead of a draw.
+	// ShortestWait picks the endpoint with the shortest expected wait instead of drawing one at random.
 	ShortestWait bool
 }
 
-const leastShare = 0.05
+// minColdShare is the smallest share of its usual weight that a cold endpoint has.
+const minColdShare = 0.05
 
-// Pick chooses an endpoint, NoEndpoint when none can be tried, Busy when all that the wish allows but for its Tried are
-// without a free slot. Done must follow.
-func (d *Director) Pick(ctx context.Context, w PickOptions) (Pick, error) {
-	v, err := d.view(ctx, w.Service)
+// Pick chooses an endpoint. It fails with Busy if some endpoint was passed over only because it has no free slot, even
+// one that Exclude names; otherwise with OutOfRegion if the request's data is restricted to some regions, else with
+// NoEndpoint. Done must follow a successful Pick.
+func (d *Director) Pick(ctx context.Context, opts PickOptions) (Pick, error) {
+	v, err := d.view(ctx, opts.Service)
 	if err != nil {
 		return Pick{}, err
 	}
 	now := time.Now()
-	if w.Pinned != "" && v.find(w.Pinned) < 0 {
-		return d.pickOutside(v, w, now)
+	if opts.Pinned != "" && v.indexOf(opts.Pinned) < 0 {
+		return d.pickNonMember(v, opts, now)
 	}
-	f := field{candidates: make([]balance.Candidate, 0, len(v.entries)), from: make([]int, 0, len(v.entries))}
+	set := candidateSet{candidates: make([]balance.Candidate, 0, len(v.entries)), entryIndexes: make([]int, 0, len(v.entries))}
 	for i := range v.entries {
 		e := &v.entries[i]
-		if w.LocalHallOnly && e.endpoint.Value.Hall != d.cfg.Hall || !d.open(e, now) || !d.allowed(e, w) {
+		if opts.LocalHallOnly && e.endpoint.Value.Hall != d.cfg.Hall || !d.available(e, now) || !d.inAllowedRegion(e, opts) {
 			continue
 		}
-		if w.allows(e.endpoint.Key) && e.verdict.Phase == eject.Trickle && e.trickles(w) {
+		if opts.permits(e.endpoint.Key) && e.verdict.Phase == eject.Trickle && e.claimTrial(opts) {
 			return v.pick(i, true), nil
 		}
-		d.consider(&f, v, i, w, now)
+		d.addCandidate(&set, v, i, opts, now)
 	}
-	i := d.ownFirst(v, f, w)
+	i := d.preferColocated(v, set, opts)
 	if i < 0 {
-		i = w.choose(f.candidates)
+		i = opts.choose(set.candidates)
 	}
 	if i >= 0 {
-		return v.pick(f.from[i], false), nil
+		return v.pick(set.entryIndexes[i], false), nil
 	}
-	if pick, ok := d.pickAllowed(v, w, now); ok {
+	if pick, ok := d.pickInRegion(v, opts, now); ok {
 		return pick, nil
 	}
-	return Pick{}, w.refusal(f.busy)
+	return Pick{}, opts.pickError(set.busy)
 }
 
-// refusal is why no endpoint was chosen, some of them being without a free slot alone.
-func (w PickOptions) refusal(busy bool) error {
+// pickError explains why no endpoint was picked; busy tells that some endpoint lacked only a free slot.
+func (opts PickOptions) pickError(busy bool) error {
 	switch {
 	case busy:
-		return fault.New(fault.Busy, w.Service, "no endpoint has a free slot")
-	case w.Regions.IsRestricted():
-		return fault.New(fault.OutOfRegion, w.Service, "no endpoint of a region where the data may be takes new work")
+		return fault.New(fault.Busy, opts.Service, "no endpoint has a free slot")
+	case opts.Regions.IsRestricted():
+		return fault.New(fault.OutOfRegion, opts.Service, "no endpoint of a region where the data may be takes new work")
 	}
-	return fault.New(fault.NoEndpoint, w.Service, "no endpoint takes new work")
+	return fault.New(fault.NoEndpoint, opts.Service, "no endpoint takes new work")
 }
 
-// allowed tells whether the request's data may be where an endpoint stands.
-func (d *Director) allowed(e *entry, w PickOptions) bool {
-	return !w.Regions.IsRestricted() || w.Regions.Allows(d.cfg.RegionOf(e.endpoint.Value.Hall))
+// inAllowedRegion reports whether the request's data may be in the region of an endpoint.
+func (d *Director) inAllowedRegion(e *entry, opts PickOptions) bool {
+	return !opts.Regions.IsRestricted() || opts.Regions.Allows(d.cfg.RegionOf(e.endpoint.Value.Hall))
 }
 
-// pickAllowed picks any open endpoint in a region where the request's data may be, if it may not be in all, among those that this node does
-// not send to otherwise: few of its members, or none, may stand there.
-func (d *Director) pickAllowed(v *view, w PickOptions, now time.Time) (Pick, bool) {
-	if !w.Regions.IsRestricted() || w.LocalHallOnly {
+// pickInRegion picks at random an available non-member in a region where the request's data may be, for requests whose
+// data is restricted to some regions: few members of this node, or none, may be there.
+func (d *Director) pickInRegion(v *view, opts PickOptions, now time.Time) (Pick, bool) {
+	if !opts.Regions.IsRestricted() || opts.LocalHallOnly {
 		return Pick{}, false
 	}
 	var picked entry
 	found := 0
 	for i := range v.service.Endpoints {
 		row := &v.service.Endpoints[i]
-		if !w.allows(row.Key) || v.find(row.Key) >= 0 {
+		if !opts.permits(row.Key) || v.indexOf(row.Key) >= 0 {
 			continue
 		}
 		e := entry{endpoint: *row, phase: d.state().EndpointPhase(*row), target: newTarget()}
-		if !d.allowed(&e, w) || !d.open(&e, now) {
+		if !d.inAllowedRegion(&e, opts) || !d.available(&e, now) {
 			continue
 		}
-		// Each of those found so far stays with the same chance.
-		if found++; rand.IntN(found) == 0 { //nolint:gosec // a draw, no secret
+		// Reservoir sampling: all endpoints found so far are equally likely.
+		if found++; rand.IntN(found) == 0 { //nolint:gosec // load balancing, no secret
 			picked = e
 		}
 	}
@@ -118,82 +122,86 @@
 	return v.pickEntry(&picked, false), true
 }
 
-// field is what a choice is made from.
-type field struct {
+// candidateSet holds the endpoints that a request can be balanced over.
+type candidateSet struct {
 	candidates []balance.Candidate
-	// from are the candidates' places among the view's entries.
-	from []int
-	// busy is set when some endpoint is left out for want of a free slot alone.
+	// entryIndexes are the candidates' indexes among the view's entries.
+	entryIndexes []int
+	// busy is set when some endpoint was skipped only because it has no free slot.
 	busy bool
 }
 
-// consider adds an open endpoint to the field, or notes that it has no free slot.
-func (d *Director) consider(f *field, v *view, i int, w PickOptions, now time.Time) {
+// addCandidate adds an available endpoint to the candidates unless it is ejected, or records that it lacks only a free
+// slot.
+func (d *Director) addCandidate(set *candidateSet, v *view, i int, opts PickOptions, now time.Time) {
 	e := &v.entries[i]
-	if !w.allows(e.endpoint.Key) {
-		f.busy = f.busy || e.target.busy(now)
+	if !opts.permits(e.endpoint.Key) {
+		set.busy = set.busy || e.target.busy(now)
 		return
 	}
-	if e.out() {
+	if e.ejected() {
 		return
 	}
 	c := d.candidate(v, e, now)
-	if w.RequireFreeSlot && (c.Outstanding >= c.Slots || e.target.declining(now, w, c.OtherHall)) {
-		f.busy = f.busy || c.Outstanding >= c.Slots || e.target.busy(now)
+	if opts.RequireFreeSlot && (c.Outstanding >= c.Slots || e.target.refusing(now, opts, c.OtherHall)) {
+		set.busy = set.busy || c.Outstanding >= c.Slots || e.target.busy(now)
 		return
 	}
-	f.candidates = append(f.candidates, c)
-	f.from = append(f.from, i)
+	set.candidates = append(set.candidates, c)
+	set.entryIndexes = append(set.entryIndexes, i)
 }
 
-// allows tells whether the wish leaves an endpoint to choose.
-func (w PickOptions) allows(key string) bool {
-	return !slices.Contains(w.Exclude, key) && (w.Pinned == "" || key == w.Pinned)
+// permits reports whether the options leave an endpoint to choose.
+func (opts PickOptions) permits(key string) bool {
+	return !slices.Contains(opts.Exclude, key) && (opts.Pinned == "" || key == opts.Pinned)
 }
 
-func (w PickOptions) choose(candidates []balance.Candidate) int {
-	random := rand.New(globalSource{}) //nolint:gosec // a draw, no secret
-	if w.ShortestWait {
+func (opts PickOptions) choose(candidates []balance.Candidate) int {
+	random := rand.New(globalSource{}) //nolint:gosec // load balancing, no secret
+	if opts.ShortestWait {
 		return balance.LowestCost(candidates, random)
 	}
 	return balance.Choose(candidates, random)
 }
 
-// out tells whether the detector keeps ordinary work from the endpoint.
-func (e *entry) out() bool {
+// ejected reports whether the detector keeps ordinary requests from the endpoint.
+func (e *entry) ejected() bool {
 	return e.verdict.Phase == eject.Ejected || e.verdict.Phase == eject.Trickle
 }
 
-// trickles takes the endpoint's one trial at a time, if the request may be it.
-func (e *entry) trickles(w PickOptions) bool {
-	return w.Repeatable && len(w.Exclude) == 0 && e.target.trickling.CompareAndSwap(false, true)
+// claimTrial reserves the endpoint's single trial for the request, if the request qualifies and no other trial is in
+// flight.
+func (e *entry) claimTrial(opts PickOptions) bool {
+	return opts.Repeatable && len(opts.Exclude) == 0 && e.target.trialInFlight.CompareAndSwap(false, true)
 }
 
-// globalSource draws from the runtime's random numbers, which need no lock.
+// globalSource draws from the runtime's random number generator, which needs no lock.
 type globalSource struct{}
 
 // Uint64 implements rand.Source.
-func (globalSource) Uint64() uint64 { return rand.Uint64() } //nolint:gosec // a draw, no secret
+func (globalSource) Uint64() uint64 { return rand.Uint64() } //nolint:gosec // load balancing, no secret
 
-// open tells whether an endpoint may get new work as far as the table, the host list, its own word and the link say.
-func (d *Director) open(e *entry, now time.Time) bool {
+// available reports whether an endpoint may get new requests according to the table, the host list, its own reports and
+// the link to its node.
+func (d *Director) available(e *entry, now time.Time) bool {
 	host := e.endpoint.Value.Host
-	return e.phase == table.Active && !e.target.leaving(now) && !d.leaving(host) && d.usable(host)
+	return e.phase == table.Active && !e.target.draining(now) && !d.draining(host) && d.usable(host)
 }
 
+// candidate describes an endpoint to the load balancer.
 func (d *Director) candidate(v *view, e *entry, now time.Time) balance.Candidate {
 	row := e.endpoint.Value
-	distance := d.cfg.InterHallRTT
+	rtt := d.cfg.InterHallRTT
 	if row.Hall == d.cfg.Hall {
-		distance = 0
+		rtt = 0
 	}
 	return balance.Candidate{
 		Key:         e.endpoint.Key,
-		Weight:      float64(row.Weight) * float64(row.Slots) * e.verdict.Share * e.target.warmth(now, time.Duration(v.service.Value.Warmup)),
+		Weight:      float64(row.Weight) * float64(row.Slots) * e.verdict.Share * e.target.warmupShare(now, time.Duration(v.service.Value.Warmup)),
 		Slots:       int(row.Slots),
 		Outstanding: e.target.outstanding(now),
 		Latency:     time.Duration(math.Float64frombits(e.target.latency.Load())),
-		RTT:         distance,
+		RTT:         rtt,
 		OtherHall:   row.Hall != d.cfg.Hall,
 		SuccessRate: math.Float64frombits(e.target.success.Load()),
 		LastChoice:  e.verdict.Phase == eject.LastChoice,
@@ -203,23 +211,25 @@
 
 func (v *view) pick(i int, trial bool) Pick { return v.pickEntry(&v.entries[i], trial) }
 
+// pickEntry counts a request at the endpoint and returns the pick.
 func (v *view) pickEntry(e *entry, trial bool) Pick {
 	e.target.inFlight.Add(1)
-	p := Pick{Endpoint: e.endpoint, Trial: trial, target: e.target, ReportAgeMillis: e.target.idle(time.Now())}
+	p := Pick{Endpoint: e.endpoint, Trial: trial, target: e.target, ReportAgeMillis: e.target.reportAgeMillis(time.Now())}
 	p.TypicalLatency = time.Duration(math.Float64frombits(e.target.latency.Load()))
-	if v.marks.Known {
-		p.OverdueAfter = v.marks.Late
+	if v.baselines.Known {
+		p.OverdueAfter = v.baselines.Late
 	}
 	return p
 }
 
-// find returns the place of an endpoint among those that this node sends to, -1 if it is none of them.
-func (v *view) find(key string) int {
+// indexOf returns the index of an endpoint among the members, or -1 if it is no member.
+func (v *view) indexOf(key string) int {
 	return slices.IndexFunc(v.entries, func(e entry) bool { return e.endpoint.Key == key })
 }
 
-// outside returns an endpoint of the service that this node does not send to of its own choice, such as a key's home.
-func (d *Director) outside(v *view, key string) (entry, bool) {
+// nonMember returns an endpoint of the service that this node does not choose by itself, such as a key's owner. Nothing
+// is known of its load, so its target is new.
+func (d *Director) nonMember(v *view, key string) (entry, bool) {
 	list := v.service.Endpoints
 	i, ok := slices.BinarySearchFunc(list, key, func(e table.Entry[table.Endpoint], key string) int {
 		return strings.Compare(e.Key, key)
@@ -232,26 +242,27 @@
 	return e, true
 }
 
-// pickOutside picks the one endpoint that is asked for and that this node does not send to of its own choice.
-func (d *Director) pickOutside(v *view, w PickOptions, now time.Time) (Pick, error) {
-	e, ok := d.outside(v, w.Pinned)
-	if !ok || !w.allows(w.Pinned) || !d.open(&e, now) || !d.allowed(&e, w) {
-		return Pick{}, fault.New(fault.NoEndpoint, w.Service, "the endpoint takes no new work")
+// pickNonMember picks the pinned endpoint if it is no member.
+func (d *Director) pickNonMember(v *view, opts PickOptions, now time.Time) (Pick, error) {
+	e, ok := d.nonMember(v, opts.Pinned)
+	if !ok || !opts.permits(opts.Pinned) || !d.available(&e, now) || !d.inAllowedRegion(&e, opts) {
+		return Pick{}, fault.New(fault.NoEndpoint, opts.Service, "the endpoint takes no new work")
 	}
 	return v.pickEntry(&e, false), nil
 }
 
-// Homely tells whether the endpoint would be chosen at all, and so may run a keyed request at its home.
+// EligibleOwner reports whether the endpoint could be picked at all, and so may run a request with an idempotency key
+// that it owns.
 func (d *Director) EligibleOwner(ctx context.Context, service, endpoint string) bool {
 	v, err := d.view(ctx, service)
 	if err != nil {
 		return false
 	}
 	now := time.Now()
-	if i := v.find(endpoint); i >= 0 {
+	if i := v.indexOf(endpoint); i >= 0 {
 		e := &v.entries[i]
-		return d.open(e, now) && (e.verdict.Phase == eject.Serving || e.verdict.Phase == eject.LastChoice)
+		return d.available(e, now) && (e.verdict.Phase == eject.Serving || e.verdict.Phase == eject.LastChoice)
 	}
-	e, ok := d.outside(v, endpoint)
-	return ok && d.open(&e, now)
+	e, ok := d.nonMember(v, endpoint)
+	return ok && d.available(&e, now)
 }
--- a/director/pick_test.go
+++ b/director/pick_test.go
@@ -13,8 +13,8 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// halls returns a director in hall-1 of a service with one endpoint of a slot in each of two halls.
-func halls(t *testing.T) *Director {
+// twoHallDirector returns a director in hall-1. Its service has one endpoint with a single slot in each of two halls.
+func twoHallDirector(t *testing.T) *Director {
 	t.Helper()
 	service, err := table.NewRow(table.KindService, "desk", nil)
 	if err != nil {
@@ -43,55 +43,55 @@
 	return d
 }
 
-// picked returns the endpoint that a wish gets, or the code of its refusal.
-func picked(t *testing.T, d *Director, w PickOptions) (Pick, string) {
+// pickKey returns the pick for some options, and the picked endpoint's key or the code of the error.
+func pickKey(t *testing.T, d *Director, opts PickOptions) (Pick, string) {
 	t.Helper()
-	w.Service = "desk"
-	p, err := d.Pick(t.Context(), w)
+	opts.Service = "desk"
+	p, err := d.Pick(t.Context(), opts)
 	if err != nil {
 		return p, string(fault.CodeOf(err))
 	}
 	return p, p.Endpoint.Key
 }
 
-// TestNearWaitsForABusyHall checks that a request which may wait in its own hall is told when that is only out of slots, and
-// when it has nobody.
-func TestNearWaitsForABusyHall(t *testing.T) {
-	d := halls(t)
-	near := PickOptions{RequireFreeSlot: true, LocalHallOnly: true}
-	first, got := picked(t, d, near)
+// TestLocalHallOnlyReportsBusy checks the errors of a pick in the own hall, by which the request decides whether to
+// wait: Busy while the hall's endpoints only lack a free slot, NoEndpoint when they accept no such request.
+func TestLocalHallOnlyReportsBusy(t *testing.T) {
+	d := twoHallDirector(t)
+	local := PickOptions{RequireFreeSlot: true, LocalHallOnly: true}
+	first, got := pickKey(t, d, local)
 	if want := "e1"; got != want {
 		t.Fatalf("first: got %s, want %s", got, want)
 	}
-	if _, got := picked(t, d, near); got != string(fault.Busy) {
+	if _, got := pickKey(t, d, local); got != string(fault.Busy) {
 		t.Errorf("while its slot is taken: got %s, want %s", got, fault.Busy)
 	}
-	if _, got := picked(t, d, PickOptions{RequireFreeSlot: true}); got != "e2" {
+	if _, got := pickKey(t, d, PickOptions{RequireFreeSlot: true}); got != "e2" {
 		t.Errorf("without the restriction: got %s, want e2", got)
 	}
 	d.Done(Report{Service: "desk", Pick: first, Refused: true, Load: &peerpb.Load{Slots: 1, Trial: true}})
-	if _, got := picked(t, d, near); got != string(fault.NoEndpoint) {
+	if _, got := pickKey(t, d, local); got != string(fault.NoEndpoint) {
 		t.Errorf("while it takes only trials: got %s, want %s", got, fault.NoEndpoint)
 	}
 }
 
-// TestFarRefusalsAreBelievedLonger checks that an endpoint of another hall which has just refused is not asked again as soon
-// as one of the own hall.
-func TestFarRefusalsAreBelievedLonger(t *testing.T) {
+// TestRefusalsOfOtherHallsLastLonger checks that after a refusal an endpoint of another hall is avoided for longer than
+// one of the own hall, and that an endpoint without retry budget is avoided by retries only.
+func TestRefusalsOfOtherHallsLastLonger(t *testing.T) {
 	now := time.Now()
 	target := newTarget()
-	target.declinedAt.Store(now.UnixNano())
-	later := now.Add(2 * declinedLife)
-	for _, c := range []struct{ far, want bool }{{false, false}, {true, true}} {
-		if got := target.declining(later, PickOptions{Repeatable: true}, c.far); got != c.want {
-			t.Errorf("far=%v: got declining %v, want %v", c.far, got, c.want)
+	target.refusedAt.Store(now.UnixNano())
+	later := now.Add(2 * refusedTTL)
+	for _, c := range []struct{ otherHall, want bool }{{false, false}, {true, true}} {
+		if got := target.refusing(later, PickOptions{Repeatable: true}, c.otherHall); got != c.want {
+			t.Errorf("other hall=%v: got refusing %v, want %v", c.otherHall, got, c.want)
 		}
 	}
 	target = newTarget()
-	target.spentAt.Store(now.UnixNano())
-	for _, c := range []struct{ again, want bool }{{false, false}, {true, true}} {
-		if got := target.declining(later, PickOptions{Repeatable: true, IsRetry: c.again}, false); got != c.want {
-			t.Errorf("without retries left, again=%v: got declining %v, want %v", c.again, got, c.want)
+	target.outOfRetriesAt.Store(now.UnixNano())
+	for _, c := range []struct{ isRetry, want bool }{{false, false}, {true, true}} {
+		if got := target.refusing(later, PickOptions{Repeatable: true, IsRetry: c.isRetry}, false); got != c.want {
+			t.Errorf("without retry budget, retry=%v: got refusing %v, want %v", c.isRetry, got, c.want)
 		}
 	}
 }
--- a/director/regions_test.go
+++ b/director/regions_test.go
@@ -22,9 +22,10 @@
 	return v
 }
 
-// TestRegionsBindTheChoice draws halls in regions, some evacuated, and regions where data may be: whatever else a request wishes, no endpoint
-// elsewhere is chosen; as long as one there is open one is chosen, and where none is, that is said.
-func TestRegionsBindTheChoice(t *testing.T) {
+// TestRegionsRestrictPicks draws halls in regions, some halls evacuated, and the regions where a request's data may be.
+// Whatever the other options, no endpoint outside these regions may be picked. Every available endpoint inside them
+// must be picked eventually, and after them the pick must fail with OutOfRegion.
+func TestRegionsRestrictPicks(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const halls = 8
 		var evacuated []int
@@ -35,7 +36,7 @@
 				evacuated = append(evacuated, h)
 			}
 		}
-		s := hallsState(t, halls, 6, evacuated...)
+		s := stateWithHalls(t, halls, 6, evacuated...)
 		log := zerolog.Nop()
 		d := New(Config{
 			Host: "h0-00", Hall: "hall-0", RegionOf: func(hall string) string { return regions[hall] },
@@ -44,28 +45,28 @@
 			rt.Fatal(err)
 		}
 		defer func() { _ = d.Stop(context.Background()) }()
-		w := PickOptions{
-			Regions:         region.Any.Intersect(rapid.SampledFrom([][]string{{"a"}, {"b", "c"}, {"d"}}).Draw(rt, "bound")),
-			RequireFreeSlot: rapid.Bool().Draw(rt, "free"), ShortestWait: rapid.Bool().Draw(rt, "least"), Repeatable: rapid.Bool().Draw(rt, "repeatable"),
+		opts := PickOptions{
+			Regions:         region.Any.Intersect(rapid.SampledFrom([][]string{{"a"}, {"b", "c"}, {"d"}}).Draw(rt, "restricted to")),
+			RequireFreeSlot: rapid.Bool().Draw(rt, "free slot"), ShortestWait: rapid.Bool().Draw(rt, "shortest wait"), Repeatable: rapid.Bool().Draw(rt, "repeatable"),
 		}
-		open := 0
+		available := 0
 		for _, e := range mustService(t, s).Endpoints {
-			if w.Regions.Allows(regions[e.Value.Hall]) && !s.Evacuated(e.Value.Hall) {
-				open++
+			if opts.Regions.Allows(regions[e.Value.Hall]) && !s.Evacuated(e.Value.Hall) {
+				available++
 			}
 		}
-		for n := range open + 1 {
-			p, got := picked(t, d, w)
-			if n == open {
+		for n := range available + 1 {
+			p, got := pickKey(t, d, opts)
+			if n == available {
 				if got != string(fault.OutOfRegion) {
-					rt.Fatalf("after all %d: got %s, want %s", open, got, fault.OutOfRegion)
+					rt.Fatalf("after all %d: got %s, want %s", available, got, fault.OutOfRegion)
 				}
 				return
 			}
-			if p.Endpoint.Key == "" || !w.Regions.Allows(regions[p.Endpoint.Value.Hall]) || s.Evacuated(p.Endpoint.Value.Hall) {
-				rt.Fatalf("choice %d of %d: got %s in %s of %q", n, open, got, p.Endpoint.Value.Hall, regions[p.Endpoint.Value.Hall])
+			if p.Endpoint.Key == "" || !opts.Regions.Allows(regions[p.Endpoint.Value.Hall]) || s.Evacuated(p.Endpoint.Value.Hall) {
+				rt.Fatalf("choice %d of %d: got %s in %s of %q", n, available, got, p.Endpoint.Value.Hall, regions[p.Endpoint.Value.Hall])
 			}
-			w.Exclude = append(w.Exclude, got)
+			opts.Exclude = append(opts.Exclude, got)
 		}
 	})
 }
--- a/director/report.go
+++ b/director/report.go
@@ -8,49 +8,49 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// Report is what one exchange showed of its endpoint.
+// Report describes the result of one exchange with an endpoint.
 type Report struct {
 	// Service is the service's key.
 	Service string
 	// Pick is the choice that led to the exchange.
 	Pick Pick
-	// Worked is set when the endpoint had the request.
+	// Received is set when the endpoint received the request.
 	Received bool
-	// Failed is set when it did not do the work.
+	// Failed is set when the endpoint did not do the work.
 	Failed bool
-	// Declined is set when it turned the request away before anything was sent.
+	// Refused is set when the endpoint's node refused the request before anything was sent to the endpoint.
 	Refused bool
-	// Spent is set when it had no retry left.
+	// OutOfRetries is set when the endpoint's retry budget was used up.
 	OutOfRetries bool
-	// WasLate is set when the exchange was reported overdue before.
+	// WasOverdue is set when ReportOverdue was called for the exchange.
 	WasOverdue bool
-	// Load is what the egress attached, nil when nothing came back.
+	// Load is the load report that the egress attached, nil if no answer came back.
 	Load *peerpb.Load
 }
 
-// Done frees the pick and takes the report.
+// Done releases a pick and records the result of its exchange.
 func (d *Director) Done(r Report) {
 	now := time.Now()
 	t := r.Pick.target
 	t.inFlight.Add(-1)
 	if r.Pick.Trial {
-		t.trickling.Store(false)
+		t.trialInFlight.Store(false)
 	}
-	t.noteLoad(now, r.Load)
+	t.applyLoad(now, r.Load)
 	if r.Refused {
-		t.declinedAt.Store(now.UnixNano())
+		t.refusedAt.Store(now.UnixNano())
 	}
 	if r.OutOfRetries {
-		t.spentAt.Store(now.UnixNano())
+		t.outOfRetriesAt.Store(now.UnixNano())
 	}
 	if r.Received {
 		success := 1.0
 		if r.Failed {
 			success = 0
 		}
-		move(&t.success, max(success, 1e-9))
+		updateAverage(&t.success, max(success, 1e-9))
 		if service := r.Load.GetServiceMicros(); service > 0 && !r.Failed {
-			move(&t.latency, float64(time.Duration(service)*time.Microsecond))
+			updateAverage(&t.latency, float64(time.Duration(service)*time.Microsecond))
 		}
 	}
 	d.send(r)
@@ -64,21 +64,22 @@
 	key := r.Pick.Endpoint.Key
 	before := rt.detector.Verdict(key)
 	if r.Received {
-		ev := eject.Observation{Kind: eject.Success, WasOverdue: r.WasOverdue}
+		o := eject.Observation{Kind: eject.Success, WasOverdue: r.WasOverdue}
 		if r.Failed {
-			ev.Kind = eject.Failure
+			o.Kind = eject.Failure
 		}
-		ev.Latency = time.Duration(r.Load.GetServiceMicros()) * time.Microsecond
-		rt.detector.Observe(now, key, ev)
+		o.Latency = time.Duration(r.Load.GetServiceMicros()) * time.Microsecond
+		rt.detector.Observe(now, key, o)
 	}
-	r.shareTotals(now, rt, key)
+	r.observeOtherNodes(now, rt, key)
 	if rt.detector.Verdict(key).Differs(before) {
 		d.refresh(now, rt)
 	}
 }
 
-// shareTotals feeds the detector with what other nodes' requests showed the egress since the last report.
-func (r Report) shareTotals(now time.Time, rt *runtime, key string) {
+// observeOtherNodes passes to the detector the results of other nodes' requests: the growth of the egress's totals
+// since the last load report, less this node's own requests.
+func (r Report) observeOtherNodes(now time.Time, rt *runtime, key string) {
 	t := r.Pick.target
 	if r.Load == nil {
 		return
@@ -93,30 +94,31 @@
 	if t.incarnation != r.Load.GetIncarnation() {
 		t.incarnation = r.Load.GetIncarnation()
 	} else if finished > t.totalFinished {
-		others := lessOwn(finished-t.totalFinished, t.ownFinished)
-		othersFailed := min(others, lessOwn(failed-min(failed, t.totalFailed), t.ownFailed))
+		others := withoutOwn(finished-t.totalFinished, t.ownFinished)
+		othersFailed := min(others, withoutOwn(failed-min(failed, t.totalFailed), t.ownFailed))
 		rt.detector.ObserveCounts(now, key, others, othersFailed)
 	} else {
-		// An answer that was overtaken by a later one; its work is in the later totals already.
+		// A later answer has overtaken this one, and its totals already include this exchange.
 		return
 	}
 	t.totalFinished, t.totalFailed = finished, failed
 	t.ownFinished, t.ownFailed = 0, 0
 }
 
-func lessOwn(total, own uint64) uint64 { return total - min(total, own) }
+// withoutOwn subtracts this node's own requests from a total, down to zero.
+func withoutOwn(total, own uint64) uint64 { return total - min(total, own) }
 
-// Late reports an exchange that has taken long and has not ended.
+// ReportOverdue records that an exchange has taken longer than the pick's OverdueAfter and has not ended.
 func (d *Director) ReportOverdue(service string, p Pick) {
-	d.send(lateMessage{service: service, pick: p})
+	d.send(overdueMessage{service: service, pick: p})
 }
 
-type lateMessage struct {
+type overdueMessage struct {
 	service string
 	pick    Pick
 }
 
-func (m lateMessage) apply(d *Director, now time.Time) {
+func (m overdueMessage) apply(d *Director, now time.Time) {
 	rt := d.runtimeOf(now, m.service)
 	if rt == nil {
 		return
@@ -129,37 +131,41 @@
 	}
 }
 
-// Explanation is why an endpoint is treated as it is.
+// Explanation tells why an endpoint is treated as it is. Its JSON names are part of the operators' interface.
 type Explanation struct {
 	// Endpoint is the endpoint's key.
 	Endpoint string `json:"endpoint"`
 	// Phase is the detector's phase.
 	Phase string `json:"phase"`
-	// Test is the test with the highest score.
+	// Test is the name of the test with the highest score.
 	Test string `json:"test"`
-	// Score is the evidence against it, in nats.
+	// Score is the highest test score, the evidence against the endpoint in nats.
 	Score float64 `json:"score"`
-	// Threshold is the score that ejects.
+	// Threshold is the score at which the endpoint is ejected.
 	Threshold float64 `json:"threshold"`
-	// Ejections is how often it was ejected of late.
+	// Ejections counts recent ejections; it decays while the endpoint serves well.
 	Ejections int `json:"ejections"`
-	// IdleMillis is how long this node has had no word from it, -1 if it never asked; others may make it needless.
+	// IdleMillis is the time since this node's last load report from the endpoint, -1 if it never had one. A large
+	// value can be normal: this node may send its requests to other endpoints.
 	IdleMillis int64 `json:"idle_millis"`
-	// Trial is set while the node beside it takes only trials.
+	// Trial is set while the endpoint's node accepts only trials.
 	Trial bool `json:"trial"`
-	// HeldByFloor is set when only the floor keeps it in use.
+	// HeldByFloor is set when only the floor keeps the endpoint in use.
 	HeldByFloor bool `json:"held_by_floor"`
-	// InFlight is how many of this node's requests it holds.
+	// InFlight is how many of this node's requests the endpoint holds.
 	InFlight int64 `json:"in_flight"`
-	// Open is false when the table, the host list, its own word or the link keep new work from it.
+	// Open is false while the table, the host list, the endpoint's own reports or the link to its node keep new
+	// requests from it.
 	Open bool `json:"open"`
-	// Evacuated is set while its hall is, EvacuatedSince when that began and EvacuatedBy who said so, as far as is known.
+	// Evacuated is set while the endpoint's hall is evacuated. EvacuatedSince is when the evacuation began and
+	// EvacuatedBy who ordered it, as far as is known.
 	Evacuated      bool      `json:"evacuated,omitempty"`
 	EvacuatedSince time.Time `json:"evacuated_since,omitzero"`
 	EvacuatedBy    string    `json:"evacuated_by,omitempty"`
 }
 
-// Explain returns why the endpoints of the services that this node met are treated as they are.
+// Explain returns the explanations for the endpoints of a service, or of all services that this node tracks if service
+// is empty.
 func (d *Director) Explain(service string) []Explanation {
 	now := time.Now()
 	evacuated := d.state().EvacuatedHalls()
@@ -177,7 +183,7 @@
 	return out
 }
 
-// withHall adds what is known of the endpoint's hall.
+// withHall adds the evacuation of the endpoint's hall.
 func (e Explanation) withHall(hall string, evacuated []table.EvacuatedHall) Explanation {
 	for _, h := range evacuated {
 		if h.Hall == hall {
@@ -194,9 +200,9 @@
 	return Explanation{
 		Endpoint: e.endpoint.Key, Phase: e.verdict.Phase.String(), Test: e.verdict.Test,
 		Score: e.verdict.Score, Threshold: e.verdict.Threshold, Ejections: e.verdict.Ejections,
-		IdleMillis:  e.target.idle(now),
-		Trial:       e.target.trialAt.Load() != 0,
+		IdleMillis:  e.target.reportAgeMillis(now),
+		Trial:       e.target.trialOnlyAt.Load() != 0,
 		HeldByFloor: e.verdict.Phase == eject.LastChoice,
-		InFlight:    e.target.inFlight.Load(), Open: d.open(e, now),
+		InFlight:    e.target.inFlight.Load(), Open: d.available(e, now),
 	}
 }
--- a/director/target.go
+++ b/director/target.go
@@ -9,24 +9,27 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// target is what traffic shares about one endpoint; it outlives changes of its row.
+// target is the state of one endpoint that request goroutines share; it outlives changes of the endpoint's row.
 type target struct {
-	inFlight  atomic.Int64
-	reported  atomic.Int64
-	reportAt  atomic.Int64
-	latency   atomic.Uint64
-	success   atomic.Uint64
-	leavingAt atomic.Int64
-	trickling atomic.Bool
-	// declinedAt is when it last turned a request away, trialAt when it last said that it takes only trials.
-	declinedAt atomic.Int64
-	trialAt    atomic.Int64
-	// spentAt is when it last had no retry left.
-	spentAt atomic.Int64
-	// coldUntil is when it stops being cold, by its own word or as far as can be told without.
+	// inFlight counts this node's requests at the endpoint; reported is the load that the egress last reported.
+	inFlight      atomic.Int64
+	reported      atomic.Int64
+	reportedAt    atomic.Int64
+	latency       atomic.Uint64
+	success       atomic.Uint64
+	drainingAt    atomic.Int64
+	trialInFlight atomic.Bool
+	// refusedAt is when the endpoint's node last refused a request, trialOnlyAt when it last reported that it accepts
+	// only trials.
+	refusedAt   atomic.Int64
+	trialOnlyAt atomic.Int64
+	// outOfRetriesAt is when the endpoint's retry budget was last used up.
+	outOfRetriesAt atomic.Int64
+	// coldUntil is when the endpoint stops being cold, by its own report or else by the estimate of this node.
 	coldUntil atomic.Int64
 
-	// The control goroutine alone uses these: the egress's totals at the last report, and our own share since.
+	// The fields below belong to the control goroutine: the egress's totals at the last load report, and this node's
+	// own requests since then.
 	incarnation   uint64
 	totalFinished uint64
 	totalFailed   uint64
@@ -35,41 +38,44 @@
 }
 
 const (
-	latencyMemory = 0.1
-	// A load report counts in full for about the time in which a busy endpoint frees a slot (work of 50 to 300 ms on 3
-	// or 4 slots), then for less with age, and for nothing after its life.
-	reportFull  = 100 * time.Millisecond
-	reportLife  = 500 * time.Millisecond
-	leavingLife = 5 * time.Second
-	// declinedLife is how long an endpoint that turned a request away is left alone while others may be free.
-	declinedLife = 20 * time.Millisecond
-	// farDeclinedLife is the same for an endpoint of another hall: most of the time of a short piece of work.
-	farDeclinedLife = 300 * time.Millisecond
-	// spentLife is how long an endpoint that has no retries left is not asked for one: it gains some in a second.
-	spentLife = 250 * time.Millisecond
-	// trialLife is how long an endpoint's word that it takes only trials is believed for what must not repeat.
-	trialLife = 400 * time.Millisecond
+	// ewmaWeight is the weight of a new value in the moving averages of latency and success rate.
+	ewmaWeight = 0.1
+	// A load report has full weight for about the time in which a busy endpoint frees a slot (work of 50 to 300 ms on 3
+	// or 4 slots), then loses weight with age, and has none after reportTTL.
+	reportFreshTTL = 100 * time.Millisecond
+	reportTTL      = 500 * time.Millisecond
+	drainingTTL    = 5 * time.Second
+	// refusedTTL is how long an endpoint that has refused a request is avoided while others may have a free slot.
+	refusedTTL = 20 * time.Millisecond
+	// remoteRefusedTTL is the same for an endpoint of another hall: most of the duration of a short request.
+	remoteRefusedTTL = 300 * time.Millisecond
+	// outOfRetriesTTL is how long an endpoint without retry budget gets no retries: it regains some within a second.
+	outOfRetriesTTL = 250 * time.Millisecond
+	// trialOnlyTTL is how long non-repeatable requests avoid an endpoint that has reported that it accepts only trials.
+	trialOnlyTTL = 400 * time.Millisecond
 )
 
-// declining tells whether an endpoint has just said that it would turn such a request away. Of another hall that is
-// believed longer, and also of what could be a trial there: each question costs bytes between halls.
-func (t *target) declining(now time.Time, w PickOptions, far bool) bool {
-	life := declinedLife
-	if far {
-		life = farDeclinedLife
+// refusing reports whether an endpoint has just reported that it would refuse such a request. For an endpoint of
+// another hall the report holds for longer, and also for requests that could be a trial there, because each attempt
+// costs traffic between halls.
+func (t *target) refusing(now time.Time, opts PickOptions, otherHall bool) bool {
+	ttl := refusedTTL
+	if otherHall {
+		ttl = remoteRefusedTTL
 	}
-	if now.UnixNano()-t.declinedAt.Load() < int64(life) {
+	if now.UnixNano()-t.refusedAt.Load() < int64(ttl) {
 		return true
 	}
-	if w.IsRetry && now.UnixNano()-t.spentAt.Load() < int64(spentLife) {
+	if opts.IsRetry && now.UnixNano()-t.outOfRetriesAt.Load() < int64(outOfRetriesTTL) {
 		return true
 	}
-	return (!w.Repeatable || far) && now.UnixNano()-t.trialAt.Load() < int64(trialLife)
+	return (!opts.Repeatable || otherHall) && now.UnixNano()-t.trialOnlyAt.Load() < int64(trialOnlyTTL)
 }
 
-// busy tells whether an endpoint has just turned a request away for want of a slot, and not of trust.
+// busy reports whether an endpoint has just refused a request because it had no free slot, and not because it accepts
+// only trials.
 func (t *target) busy(now time.Time) bool {
-	return now.UnixNano()-t.declinedAt.Load() < int64(declinedLife) && t.trialAt.Load() == 0
+	return now.UnixNano()-t.refusedAt.Load() < int64(refusedTTL) && t.trialOnlyAt.Load() == 0
 }
 
 func newTarget() *target {
@@ -78,85 +84,88 @@
 	return t
 }
 
-// move shifts a float that several goroutines share towards a new value; a lost update is harmless.
-func move(f *atomic.Uint64, to float64) {
+// updateAverage moves an average that several goroutines share towards a new value. A lost update is harmless.
+func updateAverage(f *atomic.Uint64, to float64) {
 	old := math.Float64frombits(f.Load())
 	if old == 0 {
 		f.Store(math.Float64bits(to))
 		return
 	}
-	f.Store(math.Float64bits(old + (to-old)*latencyMemory))
+	f.Store(math.Float64bits(old + (to-old)*ewmaWeight))
 }
 
-// outstanding is the larger of what this node has sent and of what the egress last reported, faded with age: reports
-// that lag are outvoted by what was seen.
+// outstanding estimates how many requests the endpoint holds: the larger of this node's own requests and the last
+// reported load, whose weight decays with age. So a stale report never hides what this node has sent.
 func (t *target) outstanding(now time.Time) int {
 	own := t.inFlight.Load()
-	age := now.UnixNano() - t.reportAt.Load()
-	if age >= int64(reportLife) {
+	age := now.UnixNano() - t.reportedAt.Load()
+	if age >= int64(reportTTL) {
 		return int(own)
 	}
-	left := 1 - max(0, float64(age)-float64(reportFull))/float64(reportLife-reportFull)
-	faded := float64(t.reported.Load()) * left
+	weight := 1 - max(0, float64(age)-float64(reportFreshTTL))/float64(reportTTL-reportFreshTTL)
+	faded := float64(t.reported.Load()) * weight
 	return int(max(own, int64(faded)))
 }
 
-// idle is how long ago the endpoint's node last said anything, in milliseconds, -1 for never.
-func (t *target) idle(now time.Time) int64 {
-	at := t.reportAt.Load()
+// reportAgeMillis returns the age of the last load report in milliseconds, -1 if there was none.
+func (t *target) reportAgeMillis(now time.Time) int64 {
+	at := t.reportedAt.Load()
 	if at == 0 {
 		return -1
 	}
 	return (now.UnixNano() - at) / int64(time.Millisecond)
 }
 
-func (t *target) noteLoad(now time.Time, load *peerpb.Load) {
+// applyLoad records a load report.
+func (t *target) applyLoad(now time.Time, load *peerpb.Load) {
 	if load == nil {
 		return
 	}
 	t.reported.Store(int64(load.GetBusy()) + int64(load.GetQueued()))
-	t.reportAt.Store(now.UnixNano())
+	t.reportedAt.Store(now.UnixNano())
 	if load.GetTrial() {
-		t.trialAt.Store(now.UnixNano())
+		t.trialOnlyAt.Store(now.UnixNano())
 	} else {
-		t.trialAt.Store(0)
+		t.trialOnlyAt.Store(0)
 	}
 	if load.ColdMicros != nil {
-		t.coldFor(now, time.Duration(load.GetColdMicros())*time.Microsecond)
+		t.markCold(now, time.Duration(load.GetColdMicros())*time.Microsecond)
 	}
 	if load.GetLeaving() {
-		t.leavingAt.Store(now.UnixNano())
+		t.drainingAt.Store(now.UnixNano())
 	}
 }
 
-// coldFor takes it that the endpoint is cold for some time from now on.
-func (t *target) coldFor(now time.Time, d time.Duration) { t.coldUntil.Store(now.Add(d).UnixNano()) }
+// markCold sets how long the endpoint stays cold from now on.
+func (t *target) markCold(now time.Time, d time.Duration) { t.coldUntil.Store(now.Add(d).UnixNano()) }
 
-// warmth is the share of its work that an endpoint gets while it is cold, growing to all of it over a time.
-func (t *target) warmth(now time.Time, over time.Duration) float64 {
+// warmupShare returns the share of its usual weight that the endpoint has while it is cold; it grows to 1 over the
+// warmup time.
+func (t *target) warmupShare(now time.Time, warmup time.Duration) float64 {
 	left := t.coldUntil.Load() - now.UnixNano()
-	if left <= 0 || over <= 0 {
+	if left <= 0 || warmup <= 0 {
 		return 1
 	}
-	return max(leastShare, 1-float64(left)/float64(over))
+	return max(minColdShare, 1-float64(left)/float64(warmup))
 }
 
-// leaving believes an endpoint's word for a while, then lets one request find out.
-func (t *target) leaving(now time.Time) bool {
-	return now.UnixNano()-t.leavingAt.Load() < int64(leavingLife)
+// draining reports whether the endpoint has said recently that it drains. The report expires, so that a request finds
+// out whether the endpoint accepts new requests again.
+func (t *target) draining(now time.Time) bool {
+	return now.UnixNano()-t.drainingAt.Load() < int64(drainingTTL)
 }
 
 // Pick is a chosen endpoint.
 type Pick struct {
-	// Endpoint is its row.
+	// Endpoint is the endpoint's row.
 	Endpoint table.Entry[table.Endpoint]
-	// Late is the service time after which the work counts as overdue, 0 while unknown.
+	// OverdueAfter is the service time after which the request counts as overdue, 0 while unknown.
 	OverdueAfter time.Duration
-	// Typical is the endpoint's usual service time, 0 while unknown.
+	// TypicalLatency is the endpoint's average service time, 0 while unknown.
 	TypicalLatency time.Duration
-	// Trial is set when the endpoint is on trial and this is its one request.
+	// Trial is set when the endpoint is on trial and this is its single trial request.
 	Trial bool
-	// SeenMillis is how old this node's latest word of the endpoint was at the choice, in milliseconds, -1 for none.
+	// ReportAgeMillis is the age of the endpoint's last load report when it was picked, in milliseconds, -1 for none.
 	ReportAgeMillis int64
 	target          *target
 }
--- a/director/view.go
+++ b/director/view.go
@@ -9,15 +9,16 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// view is what traffic reads of one service; immutable but for its targets.
+// view is what request goroutines read about one service; it is immutable except for its targets.
 type view struct {
 	revision uint64
 	service  table.ServiceView
-	// entries are the endpoints that this node sends to.
-	entries []entry
-	marks   eject.Baselines
+	// entries are the members: the endpoints that this node sends requests to.
+	entries   []entry
+	baselines eject.Baselines
 }
 
+// entry is one endpoint of a view.
 type entry struct {
 	endpoint table.Entry[table.Endpoint]
 	phase    table.Phase
@@ -25,7 +26,7 @@
 	target   *target
 }
 
-// refresh brings the detector to the table in force and publishes the view.
+// refresh updates the detector from the active table and publishes a new view.
 func (d *Director) refresh(now time.Time, rt *runtime) {
 	s := d.state()
 	sv, ok := s.Service(rt.key)
@@ -39,55 +40,57 @@
 		rt.detector.SetConfig(now, cfg)
 		rt.revision = s.Revisions()
 	}
-	d.rejoin(now, rt, sv)
-	rt.noteHalls(now, s, sv)
-	members := d.membersOf(now, rt, s, sv)
+	d.updateMembership(now, rt, sv)
+	rt.markRestoredHallsCold(now, s, sv)
+	members := d.selectMembers(now, rt, s, sv)
 	list := make([]eject.Endpoint, 0, len(members))
 	for _, i := range members {
 		e := sv.Endpoints[i]
-		usable := s.EndpointPhase(e) == table.Active && !d.leaving(e.Value.Host)
+		usable := s.EndpointPhase(e) == table.Active && !d.draining(e.Value.Host)
 		list = append(list, eject.Endpoint{
 			Key: e.Key, Capacity: float64(e.Value.Weight) * float64(e.Value.Slots), Usable: usable,
 		})
 	}
 	rt.detector.SetEndpoints(now, list)
 	rt.refreshedAt = now
-	d.publish(rt.key, d.viewOf(rt, s, sv, members))
+	d.publish(rt.key, d.buildView(rt, s, sv, members))
 }
 
-// rejoin works out anew which endpoints this node sends to, if these or the hall's hosts are others than before.
-func (d *Director) rejoin(now time.Time, rt *runtime, sv table.ServiceView) {
-	choosers := d.cfg.HallHosts()
-	if rt.membership.fits(sv.Endpoints, choosers) {
+// updateMembership recomputes the members if the service's endpoints or the hall's hosts have changed, and adds and
+// removes targets to match the endpoints. An endpoint that is added to a service that is already tracked starts cold.
+func (d *Director) updateMembership(now time.Time, rt *runtime, sv table.ServiceView) {
+	nodes := d.cfg.HallHosts()
+	if rt.membership.upToDate(sv.Endpoints, nodes) {
 		return
 	}
-	rt.membership = newMembership(d.cfg.Host, d.cfg.Hall, choosers, sv.Endpoints)
-	known := make(map[string]bool, len(sv.Endpoints))
-	joins := len(rt.targets) > 0
+	rt.membership = newMembership(d.cfg.Host, d.cfg.Hall, nodes, sv.Endpoints)
+	listed := make(map[string]bool, len(sv.Endpoints))
+	startsCold := len(rt.targets) > 0
 	for _, e := range sv.Endpoints {
-		known[e.Key] = true
+		listed[e.Key] = true
 		if rt.targets[e.Key] != nil {
 			continue
 		}
 		rt.targets[e.Key] = newTarget()
-		if joins {
-			rt.targets[e.Key].coldFor(now, time.Duration(sv.Value.Warmup))
+		if startsCold {
+			rt.targets[e.Key].markCold(now, time.Duration(sv.Value.Warmup))
 		}
 	}
 	for key := range rt.targets {
-		if !known[key] {
+		if !listed[key] {
 			delete(rt.targets, key)
 			delete(rt.phases, key)
 		}
 	}
 }
 
-// noteHalls takes it that the endpoints of a hall that is taken back have turned cold, until they say otherwise.
-func (rt *runtime) noteHalls(now time.Time, s *table.State, sv table.ServiceView) {
+// markRestoredHallsCold marks the endpoints of a hall as cold when its evacuation ends: they have had no work and may
+// have lost their warmth. An endpoint's own report replaces the mark.
+func (rt *runtime) markRestoredHallsCold(now time.Time, s *table.State, sv table.ServiceView) {
 	for _, e := range sv.Endpoints {
 		hall := e.Value.Hall
 		if rt.evacuated[hall] && !s.Evacuated(hall) {
-			rt.targets[e.Key].coldFor(now, time.Duration(sv.Value.Warmup))
+			rt.targets[e.Key].markCold(now, time.Duration(sv.Value.Warmup))
 		}
 	}
 	clear(rt.evacuated)
@@ -96,20 +99,21 @@
 	}
 }
 
-// membersOf returns the places of the endpoints that this node sends to now.
-func (d *Director) membersOf(now time.Time, rt *runtime, s *table.State, sv table.ServiceView) []int {
-	rt.need = max(rt.need*workMemory, needOf(rt, sv))
-	return rt.membership.members(int(math.Ceil(rt.need)), func(i int) bool {
+// selectMembers returns the indexes of the endpoints that this node sends requests to now.
+func (d *Director) selectMembers(now time.Time, rt *runtime, s *table.State, sv table.ServiceView) []int {
+	rt.requiredMembers = max(rt.requiredMembers*requiredDecay, requiredMembers(rt, sv))
+	return rt.membership.members(int(math.Ceil(rt.requiredMembers)), func(i int) bool {
 		e := &sv.Endpoints[i]
-		in := entry{endpoint: *e, phase: s.EndpointPhase(*e), verdict: rt.detector.Verdict(e.Key), target: rt.targets[e.Key]}
-		return !in.out() && d.open(&in, now)
+		candidate := entry{endpoint: *e, phase: s.EndpointPhase(*e), verdict: rt.detector.Verdict(e.Key), target: rt.targets[e.Key]}
+		return !candidate.ejected() && d.available(&candidate, now)
 	})
 }
 
-// needOf is how many endpoints it takes for this node's own requests to fill workShare of their slots.
-func needOf(rt *runtime, sv table.ServiceView) float64 {
+// requiredMembers returns how many endpoints it takes so that this node's own requests fill maxMemberLoad of their
+// slots.
+func requiredMembers(rt *runtime, sv table.ServiceView) float64 {
 	inFlight, slots := 0.0, 0.0
-	for _, i := range rt.membership.near[:rt.membership.nearCount] {
+	for _, i := range rt.membership.local[:rt.membership.localCount] {
 		e := &sv.Endpoints[i]
 		inFlight += float64(rt.targets[e.Key].inFlight.Load())
 		slots += float64(e.Value.Slots)
@@ -117,26 +121,27 @@
 	if slots == 0 {
 		return 0
 	}
-	return inFlight / workShare * float64(rt.membership.nearCount) / slots
+	return inFlight / maxMemberLoad * float64(rt.membership.localCount) / slots
 }
 
-func (d *Director) viewOf(rt *runtime, s *table.State, sv table.ServiceView, members []int) *view {
-	v := &view{revision: s.Revision(), service: sv, marks: rt.detector.Baselines(), entries: make([]entry, 0, len(members))}
+// buildView returns the view of the members and logs their changes of phase.
+func (d *Director) buildView(rt *runtime, s *table.State, sv table.ServiceView, members []int) *view {
+	v := &view{revision: s.Revision(), service: sv, baselines: rt.detector.Baselines(), entries: make([]entry, 0, len(members))}
 	rt.unsettled = false
 	for _, i := range members {
 		e := sv.Endpoints[i]
 		verdict := rt.detector.Verdict(e.Key)
-		d.notePhase(rt, e.Key, verdict)
+		d.logPhaseChange(rt, e.Key, verdict)
 		rt.unsettled = rt.unsettled || verdict.Phase != eject.Serving
 		v.entries = append(v.entries, entry{
 			endpoint: e, phase: s.EndpointPhase(e), verdict: verdict, target: rt.targets[e.Key],
 		})
 	}
-	d.restless = d.restless || rt.unsettled
+	d.unsettled = d.unsettled || rt.unsettled
 	return v
 }
 
-func (d *Director) notePhase(rt *runtime, key string, v eject.Verdict) {
+func (d *Director) logPhaseChange(rt *runtime, key string, v eject.Verdict) {
 	if rt.phases[key] == v.Phase {
 		return
 	}
