--- a/eject/capacity_test.go
+++ b/eject/capacity_test.go
@@ -7,8 +7,8 @@
 	"unsafe"
 )
 
-// BenchmarkCapacityObserve reports the time of one piece of evidence by the number of endpoints, and the bytes that
-// an endpoint takes.
+// BenchmarkCapacityObserve reports the time of one observation by the number of endpoints, and the size of an
+// endpoint's state in bytes.
 func BenchmarkCapacityObserve(b *testing.B) {
 	for _, n := range []int{8, 32, 128, 512} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -25,8 +25,9 @@
 	}
 }
 
-// BenchmarkCapacityReport reports the time of one report of others' work by the number of endpoints. It tells of 64 pieces:
-// what an endpoint does between two visits of a node that meets it once in ten seconds.
+// BenchmarkCapacityReport reports the time of one report of other nodes' results by the number of endpoints. Each
+// report covers 64 requests: what an endpoint completes between two requests of a node that reaches it once in ten
+// seconds.
 func BenchmarkCapacityReport(b *testing.B) {
 	for _, n := range []int{8, 32, 128, 512} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -42,6 +43,7 @@
 	}
 }
 
+// capacityService returns a detector of n endpoints, and their list.
 func capacityService(n int) (*Detector, []Endpoint) {
 	s := NewDetector(DefaultConfig())
 	var list []Endpoint
--- a/eject/compare.go
+++ b/eject/compare.go
@@ -7,103 +7,107 @@
 	"time"
 )
 
-// How an endpoint compares with the service's others: their failures, their times, and what they all do just now.
+// This file compares an endpoint with the service's others: their failure shares, their service times, and how most of
+// them behave at the moment.
 
-func (e *endpoint) noteFailure(failed bool) {
-	hit := 0.0
+// observeFailure updates the failure shares with the result of one answer.
+func (e *endpoint) observeFailure(failed bool) {
+	value := 0.0
 	if failed {
-		hit = 1
+		value = 1
 	}
-	e.failSeen = min(e.failSeen+1, failureMemory)
-	e.failShare += (hit - e.failShare) / e.failSeen
-	e.failNow += (hit - e.failNow) / recentMemory
+	e.failureSamples = min(e.failureSamples+1, maxFailureWindow)
+	e.failureShare += (value - e.failureShare) / e.failureSamples
+	e.recentFailureShare += (value - e.recentFailureShare) / recentWindow
 }
 
-// noteRecent keeps the mean of the last few service times, in natural logarithms of nanoseconds.
-func (e *endpoint) noteRecent(latency time.Duration) {
-	t := math.Log(float64(max(latency, time.Microsecond)))
-	if e.timeNow == 0 {
-		e.timeNow = t
+// observeLatency updates the mean of the last few service times, in natural logarithms of nanoseconds.
+func (e *endpoint) observeLatency(latency time.Duration) {
+	logLatency := math.Log(float64(max(latency, time.Microsecond)))
+	if e.recentLogLatency == 0 {
+		e.recentLogLatency = logLatency
 		return
 	}
-	e.timeNow += (t - e.timeNow) / recentMemory
+	e.recentLogLatency += (logLatency - e.recentLogLatency) / recentWindow
 }
 
-// healthyFailures is the failure share of the service's other endpoints in use, the comparison that tells a bad
-// endpoint from a bad service. The worst third of them is left out, so that one bad endpoint does not hide another;
-// when most of them have failed just now, the cause is common and the share rises at once.
+// healthyFailures returns the failure share of the service's other endpoints in use. Comparing with it distinguishes a
+// failing endpoint from a failing service. The worst third of the others is excluded, so that one failing endpoint does
+// not hide another. When most of the others have just failed, the cause is common and the returned share rises at once.
 func (s *Detector) healthyFailures(e *endpoint) float64 {
 	others := make([]*endpoint, 0, len(s.endpoints))
 	for _, o := range s.endpoints {
-		if o != e && !out(o.phase) {
+		if o != e && !ejected(o.phase) {
 			others = append(others, o)
 		}
 	}
 	if len(others) == 0 {
-		return leastFailureShare
+		return minFailureShare
 	}
-	slices.SortFunc(others, func(a, b *endpoint) int { return cmp.Compare(a.failNow, b.failNow) })
-	now := others[(len(others)-1)/2].failNow
-	slices.SortFunc(others, func(a, b *endpoint) int { return cmp.Compare(a.failShare, b.failShare) })
-	sum, seen := 0.0, 0.0
+	slices.SortFunc(others, func(a, b *endpoint) int { return cmp.Compare(a.recentFailureShare, b.recentFailureShare) })
+	recent := others[(len(others)-1)/2].recentFailureShare
+	slices.SortFunc(others, func(a, b *endpoint) int { return cmp.Compare(a.failureShare, b.failureShare) })
+	sum, samples := 0.0, 0.0
 	for _, o := range others[:len(others)-len(others)/3] {
-		sum += o.failShare * o.failSeen
-		seen += o.failSeen
+		sum += o.failureShare * o.failureSamples
+		samples += o.failureSamples
 	}
-	// A few answers that nobody has given yet keep a handful of observations from looking like certainty.
-	const priorSeen = 20
-	share := (sum + leastFailureShare*priorSeen) / (seen + priorSeen)
-	return min(max(share, now, leastFailureShare), mostFailureShare)
+	// A prior of priorSamples assumed answers keeps a handful of observations from being taken for certainty.
+	const priorSamples = 20
+	share := (sum + minFailureShare*priorSamples) / (samples + priorSamples)
+	return min(max(share, recent, minFailureShare), maxFailureShare)
 }
 
-// commonSlowdown is by how much most of the other endpoints are slower just now than the marks know, at least 1.
+// commonSlowdown returns the factor by which most of the other endpoints are slower at the moment than the baselines,
+// at least 1.
 func (s *Detector) commonSlowdown(e *endpoint) float64 {
 	others := make([]float64, 0, len(s.endpoints))
 	for _, o := range s.endpoints {
-		if o != e && !out(o.phase) && o.timeNow > 0 {
-			others = append(others, o.timeNow)
+		if o != e && !ejected(o.phase) && o.recentLogLatency > 0 {
+			others = append(others, o.recentLogLatency)
 		}
 	}
 	if len(others) == 0 {
 		return 1
 	}
 	slices.Sort(others)
-	now := others[(len(others)-1)/2]
-	return max(1, math.Exp(now-math.Log(float64(s.marks.Median))))
+	recent := others[(len(others)-1)/2]
+	return max(1, math.Exp(recent-math.Log(float64(s.baselines.Median))))
 }
 
-// refreshMarks takes the median over the endpoints of each one's own quantiles, which up to half of them cannot move.
-func (s *Detector) refreshMarks() {
-	s.sinceMark++
-	if s.marks.Known && s.sinceMark < marksEvery {
+// updateBaselines sets each baseline to the median over the endpoints of their own quantiles, which up to half of the
+// endpoints cannot move.
+func (s *Detector) updateBaselines() {
+	s.sinceBaselines++
+	if s.baselines.Known && s.sinceBaselines < baselinesInterval {
 		return
 	}
-	s.sinceMark = 0
-	var middle, upper, slow, late []time.Duration
+	s.sinceBaselines = 0
+	var medians, upper, slow, late []time.Duration
 	for _, e := range s.endpoints {
-		if e.times.seen < marksLeast {
+		if e.latencies.samples < minBaselineSamples {
 			continue
 		}
-		middle = append(middle, e.times.quantile(0.5))
-		upper = append(upper, e.times.quantile(upperQuantile))
-		slow = append(slow, e.times.quantile(slowQuantile))
-		late = append(late, e.times.quantile(lateQuantile))
+		medians = append(medians, e.latencies.quantile(0.5))
+		upper = append(upper, e.latencies.quantile(upperQuantile))
+		slow = append(slow, e.latencies.quantile(slowQuantile))
+		late = append(late, e.latencies.quantile(lateQuantile))
 	}
-	// Two endpoints cannot tell which of them is the slow one.
-	if len(middle) < 3 || len(middle)*2 < len(s.endpoints) {
+	// With only two endpoints it cannot be decided which of them is the slow one.
+	if len(medians) < 3 || len(medians)*2 < len(s.endpoints) {
 		return
 	}
-	typical := float64(median(middle))
+	typical := float64(median(medians))
 	spread := max(
 		math.Log(float64(median(upper))/typical),
 		math.Log(float64(median(slow))/typical)/slowNormal,
 		math.Log(float64(median(late))/typical)/lateNormal,
-		leastSpread,
+		minSpread,
 	)
-	s.marks = Baselines{
-		Slow:   max(median(slow), time.Duration(slowAtLeast*typical)),
-		Late:   max(median(late), time.Duration(lateAtLeast*typical)),
-		Median: median(middle), Spread: spread, Known: true,
+	s.baselines = Baselines{
+		Slow:   max(median(slow), time.Duration(minSlowFactor*typical)),
+		Late:   max(median(late), time.Duration(minLateFactor*typical)),
+		Median: median(medians), Spread: spread, Known: true,
 	}
 }
 
--- a/eject/config.go
+++ b/eject/config.go
@@ -2,25 +2,26 @@
 
 import "time"
 
-// Config is one service's policy.
+// Config is the ejection policy of one service.
 type Config struct {
-	// FalseEjections is how many wrong ejections per endpoint and day are bearable.
+	// FalseEjections is how many false ejections per endpoint and day are acceptable.
 	FalseEjections float64
-	// Floor is the share of the capacity that ejections always leave in use, 0 to 1.
+	// Floor is the share of the service's capacity that ejections must leave in use, 0 to 1.
 	Floor float64
-	// FirstEjection is how long the first ejection of an endpoint lasts; each further one doubles.
+	// BaseEjectionTime is the duration of an endpoint's first ejection; each later ejection lasts twice as long as the
+	// one before.
 	BaseEjectionTime time.Duration
-	// LongestEjection bounds the doubling.
+	// MaxEjectionTime bounds the duration of an ejection.
 	MaxEjectionTime time.Duration
-	// Forgive is how long an endpoint must serve well before its count of ejections is halved.
+	// ForgiveInterval is how long an endpoint must serve well before its count of ejections is halved.
 	ForgiveInterval time.Duration
-	// ProbeSuccesses is how many good answers in a row end the trickle.
+	// TrickleSuccesses is how many good answers in a row end the trickle phase.
 	TrickleSuccesses int
-	// RampStep is how long each step of the growing share lasts.
+	// RampStep is the time after which the share of an endpoint in the ramp phase doubles.
 	RampStep time.Duration
 }
 
-// DefaultConfig returns the policy of a service whose row says nothing.
+// DefaultConfig returns the policy of a service whose row sets nothing.
 func DefaultConfig() Config {
 	return Config{
 		FalseEjections:   0.05,
@@ -33,110 +34,111 @@
 	}
 }
 
-// With returns the policy with an operator's two numbers.
+// With returns the policy with the two numbers that an operator sets per service.
 func (c Config) With(falseEjections, floor float64) Config {
 	c.FalseEjections = falseEjections
 	c.Floor = floor
 	return c
 }
 
-// Endpoint is what the detector must know of an endpoint besides its work.
+// Endpoint describes an endpoint to the detector.
 type Endpoint struct {
 	// Key names the endpoint.
 	Key string
 	// Capacity is its weight times its slots.
 	Capacity float64
-	// Usable is false while it drains or its host is gone.
+	// Usable is false while the endpoint drains or its host is gone.
 	Usable bool
 }
 
-// Kind says what an event tells of the work.
+// Kind is the kind of an observation.
 type Kind uint8
 
-// The kinds of event.
+// The kinds of observation.
 const (
-	// Success is a whole answer.
+	// Success is a complete answer.
 	Success Kind = iota
-	// Failure is an error, a cut answer or no answer.
+	// Failure is an error, an answer that was cut off, or no answer.
 	Failure
-	// Overdue is work that has taken longer than Marks.Late and has not ended.
+	// Overdue is a request that has taken longer than Baselines.Late and has not ended.
 	Overdue
 )
 
-// Event is one piece of evidence of real work at an endpoint.
+// Observation is the result of one real request at an endpoint, or the notice that it is overdue.
 type Observation struct {
-	// Kind says how the work went.
+	// Kind is the request's result.
 	Kind Kind
-	// Latency is the service time, without time in queues.
+	// Latency is the service time, without time spent in queues.
 	Latency time.Duration
-	// Counted is set when the same work was Overdue before.
+	// WasOverdue is set when the same request was reported Overdue before.
 	WasOverdue bool
 }
 
-// Phase is an endpoint's place in the cycle of ejection and return.
+// Phase is an endpoint's state in the cycle of ejection and return.
 type Phase uint8
 
 // The phases.
 const (
-	// Serving takes its full share.
+	// Serving endpoints get their full share of the requests.
 	Serving Phase = iota
-	// LastChoice is over the threshold, but the floor keeps it in use when the others are full.
+	// LastChoice endpoints are over the threshold, but the floor keeps them in use: they get requests when all others
+	// are full.
 	LastChoice
-	// Ejected takes nothing.
+	// Ejected endpoints get no requests.
 	Ejected
-	// Trickle takes one repeatable request at a time.
+	// Trickle endpoints get one repeatable request at a time.
 	Trickle
-	// Ramp takes a growing share.
+	// Ramp endpoints get a growing share of the requests.
 	Ramp
 )
 
 var phaseNames = []string{"serving", "last choice", "ejected", "trickle", "ramp"}
 
-// String returns the phase's name.
+// String returns the phase's name, which logs, traces and the operators' interface print.
 func (p Phase) String() string { return phaseNames[p] }
 
-// Verdict is what to do with an endpoint, and why.
+// Verdict is the detector's decision about an endpoint, and its reasons.
 type Verdict struct {
-	// Phase is the endpoint's place in the cycle.
+	// Phase is the endpoint's state in the cycle of ejection and return.
 	Phase Phase
-	// Share scales its weight, 0 to 1.
+	// Share scales the endpoint's weight, 0 to 1.
 	Share float64
-	// Suspect is set while there is some evidence against a serving endpoint: its latency and errors should not
-	// steer work away from it, for it is the work that settles the matter.
+	// Suspect is set while there is some evidence against a serving endpoint. Its latency and errors should then not
+	// steer requests away from it, because the detector needs their results to decide.
 	Suspect bool
-	// Score is the highest of its tests, in nats.
+	// Score is the highest score of its tests, in nats.
 	Score float64
-	// Threshold is the score that ejects.
+	// Threshold is the score at which the endpoint is ejected.
 	Threshold float64
-	// Test names the test with that score.
+	// Test is the name of the test with that score.
 	Test string
-	// Ejections is how often it was ejected of late.
+	// Ejections counts recent ejections; the count is halved while the endpoint serves well.
 	Ejections int
-	// Until is when an ejection ends.
+	// Until is when the ejection ends.
 	Until time.Time
 }
 
-// Differs tells whether a chooser would act differently on another verdict.
+// Differs reports whether a load balancer would act differently on the other verdict.
 func (v Verdict) Differs(o Verdict) bool {
 	return v.Phase != o.Phase || v.Suspect != o.Suspect || v.Share != o.Share
 }
 
-// Marks are the service times that count as slow, from the service's other endpoints.
+// Baselines are a service's usual service times, by which an answer counts as slow.
 type Baselines struct {
 	// Slow is exceeded by about one healthy answer in twenty.
 	Slow time.Duration
 	// Late is exceeded by about one healthy answer in two hundred.
 	Late time.Duration
-	// Middle is the median service time, and Spread the width of the times around it in natural logarithms, at least
-	// as wide as any part of the upper half shows.
+	// Median is the median service time. Spread is the width of the distribution around it, in natural logarithms, and
+	// at least as wide as each measured quantile of the upper half implies.
 	Median time.Duration
 	Spread float64
-	// Known is false until enough work was seen.
+	// Known is false until enough answers were seen.
 	Known bool
 }
 
-// times returns the marks of a service that is slower by a factor as a whole.
-func (m Baselines) times(factor float64) Baselines {
+// scaled returns the baselines of a service that is slower by a factor as a whole.
+func (m Baselines) scaled(factor float64) Baselines {
 	m.Slow = time.Duration(float64(m.Slow) * factor)
 	m.Late = time.Duration(float64(m.Late) * factor)
 	m.Median = time.Duration(float64(m.Median) * factor)
--- a/eject/floor.go
+++ b/eject/floor.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// enforceFloor ejects what is over the threshold, worst first, as far as the floor allows, and takes endpoints back
-// when drains or a raised floor have left too little.
+// enforceFloor ejects the endpoints over the threshold, highest score first, as far as the floor allows. It takes
+// endpoints back when drains or a raised floor have left too little capacity in use.
 //
-// Invariant: after every call the capacity of the usable endpoints that are neither ejected nor on trial is at least
-// the floor's share of the whole service's capacity, or no endpoint is ejected or on trial.
+// Invariant: after every call the capacity of the usable endpoints that are neither ejected nor in the trickle phase is
+// at least the floor's share of the service's capacity, or no endpoint is ejected or in the trickle phase.
 func (s *Detector) enforceFloor(now time.Time) {
 	total, inUse := s.capacities()
 	floor := s.cfg.Floor * total
-	for _, e := range s.sorted(func(e *endpoint) bool { return e.phase == LastChoice && e.Usable }) {
+	for _, e := range s.byScore(func(e *endpoint) bool { return e.phase == LastChoice && e.Usable }) {
 		if inUse-e.Capacity < floor {
 			continue
 		}
 		inUse -= e.Capacity
 		s.eject(now, e)
 	}
-	out := s.sorted(func(e *endpoint) bool { return out(e.phase) && e.Usable })
-	for _, e := range slices.Backward(out) {
+	returnable := s.byScore(func(e *endpoint) bool { return ejected(e.phase) && e.Usable })
+	for _, e := range slices.Backward(returnable) {
 		if inUse >= floor {
 			return
 		}
@@ -33,25 +33,26 @@
 	}
 }
 
-func out(p Phase) bool { return p == Ejected || p == Trickle }
+// ejected reports whether endpoints of a phase get no ordinary requests.
+func ejected(p Phase) bool { return p == Ejected || p == Trickle }
 
-// capacities returns the capacity of all the endpoints and of those that take work. A draining endpoint counts in
-// the first only, so that drains and ejections together never go below the floor by an ejection.
+// capacities returns the capacity of all endpoints and of those in use. A draining endpoint counts only for the first,
+// so that drains and ejections together never fall below the floor because of an ejection.
 func (s *Detector) capacities() (total, inUse float64) {
 	for _, e := range s.endpoints {
 		total += e.Capacity
-		if e.Usable && !out(e.phase) {
+		if e.Usable && !ejected(e.phase) {
 			inUse += e.Capacity
 		}
 	}
 	return total, inUse
 }
 
-// sorted returns the chosen endpoints, highest score first.
-func (s *Detector) sorted(choose func(*endpoint) bool) []*endpoint {
+// byScore returns the endpoints that match, highest score first.
+func (s *Detector) byScore(match func(*endpoint) bool) []*endpoint {
 	var list []*endpoint
 	for _, e := range s.endpoints {
-		if choose(e) {
+		if match(e) {
 			list = append(list, e)
 		}
 	}
@@ -59,8 +60,8 @@
 		return list
 	}
 	slices.SortStableFunc(list, func(a, b *endpoint) int {
-		scoreA, _ := a.tests.worst()
-		scoreB, _ := b.tests.worst()
+		scoreA, _ := a.tests.highest()
+		scoreB, _ := b.tests.highest()
 		return cmp.Compare(scoreB, scoreA)
 	})
 	return list
--- a/eject/floor_test.go
+++ b/eject/floor_test.go
@@ -8,32 +8,33 @@
 	"pgregory.net/rapid"
 )
 
-// TestFloorHolds drives a detector with random fleets, floors, drains and work, and checks the floor after each step.
+// TestFloorHolds drives a detector with random fleets, floors, drains and requests, and checks the floor after each
+// step.
 func TestFloorHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { driveFloor(t) })
 }
 
-// TestFloorHoldsFleetWide gives several choosers different work of the same endpoints: what they all eject leaves the
-// floor in use, because it is a subset of what any one of them ejects.
+// TestFloorHoldsFleetWide gives several nodes different requests to the same endpoints. What all of them have ejected
+// must leave the floor's share in use, because it is a subset of what any one of them has ejected.
 func TestFloorHoldsFleetWide(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := drawEndpoints(t)
 		floor := rapid.Float64Range(0, 1).Draw(t, "floor")
-		var choosers []*Detector
-		for range rapid.IntRange(2, 5).Draw(t, "choosers") {
+		var detectors []*Detector
+		for range rapid.IntRange(2, 5).Draw(t, "detectors") {
 			s := NewDetector(DefaultConfig().With(1, floor))
 			s.SetEndpoints(time.Unix(0, 0), list)
 			feed(s, rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0)), list)
-			choosers = append(choosers, s)
+			detectors = append(detectors, s)
 		}
 		total, inUse := 0.0, 0.0
 		for _, e := range list {
 			total += e.Capacity
-			everywhere := true
-			for _, s := range choosers {
-				everywhere = everywhere && out(s.Verdict(e.Key).Phase)
+			ejectedByAll := true
+			for _, s := range detectors {
+				ejectedByAll = ejectedByAll && ejected(s.Verdict(e.Key).Phase)
 			}
-			if !everywhere {
+			if !ejectedByAll {
 				inUse += e.Capacity
 			}
 		}
@@ -43,19 +44,18 @@
 	})
 }
 
-// TestFloorCheckCanFail shows that the property fails when the floor is switched off in the detector but not in the
-// check.
+// TestFloorCheckCanFail shows that the property fails when the detector has no floor and the check expects one.
 func TestFloorCheckCanFail(t *testing.T) {
-	broken := false
+	violated := false
 	for seed := range uint64(20) {
 		list := []Endpoint{{"a", 1, true}, {"b", 1, true}, {"c", 1, true}}
 		s := NewDetector(DefaultConfig().With(1, 0))
 		s.SetEndpoints(time.Unix(0, 0), list)
 		feed(s, rand.New(rand.NewPCG(seed, 0)), list)
-		broken = broken || inUseOf(s, list) < 0.9*3
+		violated = violated || inUseOf(s, list) < 0.9*3
 	}
-	if got, want := broken, true; got != want {
-		t.Errorf("some run without a floor goes below it: got %v, want %v", got, want)
+	if got, want := violated, true; got != want {
+		t.Errorf("some run without a floor falls below the expected one: got %v, want %v", got, want)
 	}
 }
 
@@ -68,36 +68,39 @@
 	return list
 }
 
+// feed passes random results to the detector; every 100 requests another random third of the endpoints fails.
 func feed(s *Detector, r *rand.Rand, list []Endpoint) {
 	now := time.Unix(0, 0)
-	bad := map[string]bool{}
+	failing := map[string]bool{}
 	for i := range 600 {
 		if i%100 == 0 {
 			for _, e := range list {
-				bad[e.Key] = r.IntN(3) == 0
+				failing[e.Key] = r.IntN(3) == 0
 			}
 		}
 		e := list[r.IntN(len(list))]
-		ev := Observation{Kind: Success, Latency: time.Duration(1+r.IntN(10)) * time.Millisecond}
-		if bad[e.Key] {
-			ev.Kind = Failure
+		o := Observation{Kind: Success, Latency: time.Duration(1+r.IntN(10)) * time.Millisecond}
+		if failing[e.Key] {
+			o.Kind = Failure
 		}
 		now = now.Add(20 * time.Millisecond)
-		s.Observe(now, e.Key, ev)
+		s.Observe(now, e.Key, o)
 		s.Tick(now)
 	}
 }
 
+// inUseOf returns the capacity in use.
 func inUseOf(s *Detector, list []Endpoint) float64 {
 	sum := 0.0
 	for _, e := range list {
-		if e.Usable && !out(s.Verdict(e.Key).Phase) {
+		if e.Usable && !ejected(s.Verdict(e.Key).Phase) {
 			sum += e.Capacity
 		}
 	}
 	return sum
 }
 
+// driveFloor applies random results, drains, floors and times, and checks the invariant of enforceFloor after each.
 func driveFloor(t *rapid.T) {
 	list := drawEndpoints(t)
 	floor := rapid.Float64Range(0, 1).Draw(t, "floor")
@@ -128,15 +131,15 @@
 			s.Tick(now)
 		},
 		"": func(t *rapid.T) {
-			total, ejected := 0.0, 0
+			total, ejectedCount := 0.0, 0
 			for _, e := range list {
 				total += e.Capacity
-				if e.Usable && out(s.Verdict(e.Key).Phase) {
-					ejected++
+				if e.Usable && ejected(s.Verdict(e.Key).Phase) {
+					ejectedCount++
 				}
 			}
-			if got, want := inUseOf(s, list), floor*total; ejected > 0 && got < want-1e-9 {
-				t.Fatalf("capacity in use with %d ejected: got %v, want at least %v", ejected, got, want)
+			if got, want := inUseOf(s, list), floor*total; ejectedCount > 0 && got < want-1e-9 {
+				t.Fatalf("capacity in use with %d ejected: got %v, want at least %v", ejectedCount, got, want)
 			}
 		},
 	})
--- a/eject/histogram.go
+++ b/eject/histogram.go
@@ -12,13 +12,13 @@
 	bucketRenormalize  = 1e12
 )
 
-// histogram holds service times in logarithmic buckets; old ones fade with each new one.
-// A ready-made one with exact windows takes tens of kilobytes an endpoint; this takes 320 bytes.
+// histogram holds service times in logarithmic buckets. The weight of old samples decays with each new one. A library
+// histogram with exact time windows takes tens of kilobytes per endpoint; this one takes 320 bytes.
 type histogram struct {
-	counts [bucketCount]float32
-	total  float64
-	unit   float64
-	seen   int
+	counts  [bucketCount]float32
+	total   float64
+	unit    float64
+	samples int
 }
 
 func bucketOf(d time.Duration) int {
@@ -26,7 +26,7 @@
 	return min(int(math.Log2(us)*bucketsPerDoubling), bucketCount-1)
 }
 
-func bucketTop(i int) time.Duration {
+func bucketUpperBound(i int) time.Duration {
 	return time.Duration(math.Exp2(float64(i+1)/bucketsPerDoubling) * float64(time.Microsecond))
 }
 
@@ -36,7 +36,7 @@
 	}
 	h.counts[bucketOf(d)] += float32(h.unit)
 	h.total += h.unit
-	h.seen++
+	h.samples++
 	h.unit *= bucketGrowth
 	if h.unit > bucketRenormalize {
 		h.renormalize()
@@ -53,13 +53,13 @@
 
 // quantile returns the upper edge of the bucket that holds the share q of the weight.
 func (h *histogram) quantile(q float64) time.Duration {
-	want := q * h.total
+	target := q * h.total
 	sum := 0.0
 	for i, c := range h.counts {
 		sum += float64(c)
-		if sum >= want {
-			return bucketTop(i)
+		if sum >= target {
+			return bucketUpperBound(i)
 		}
 	}
-	return bucketTop(bucketCount - 1)
+	return bucketUpperBound(bucketCount - 1)
 }
--- a/eject/script_test.go
+++ b/eject/script_test.go
@@ -11,12 +11,12 @@
 
 // TestScripts runs the scenarios of testdata. Commands:
 //
-//	service floor=F false=N endpoints=a,b,...      a new detector; time starts at 0
-//	work on=a,b n=N every=10ms [fail=P%] [slow=X]  N rounds of one answer of each endpoint, 5 ms of work
+//	service floor=F false=N endpoints=a/b/...      a new detector; time starts at 0
+//	work on=a/b n=N every=10ms [fail=P] [slow=X]   N rounds of one answer of each endpoint, 5 ms of work
 //	drain on=a                                     the endpoint is no longer usable
-//	wait for=1s                                    ticks while time passes
+//	wait for=1s                                    time passes, with ticks
 //
-// Each prints the endpoints that are not simply serving.
+// Each prints the endpoints that are not simply serving: their phase, share and number of recent ejections.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		var s script
@@ -41,7 +41,7 @@
 	return value
 }
 
-func span(t *testing.T, d *datadriven.TestData, name, value string) time.Duration {
+func duration(t *testing.T, d *datadriven.TestData, name, value string) time.Duration {
 	t.Helper()
 	v, err := time.ParseDuration(arg(t, d, name, value))
 	if err != nil {
@@ -65,9 +65,9 @@
 		}
 		s.detector.SetEndpoints(s.now, s.list)
 	case "wait":
-		s.pass(span(t, d, "for", "1s"))
+		s.pass(duration(t, d, "for", "1s"))
 	default:
-		d.Fatalf(t, "no such command")
+		d.Fatalf(t, "unknown command")
 	}
 	return s.show()
 }
@@ -83,18 +83,18 @@
 
 func (s *script) work(t *testing.T, d *datadriven.TestData) {
 	names := strings.Split(arg(t, d, "on", ""), "/")
-	every := span(t, d, "every", "10ms")
+	interval := duration(t, d, "every", "10ms")
 	fail, slow := arg(t, d, "fail", 0), arg(t, d, "slow", 1.0)
 	for range arg(t, d, "n", 1) {
 		s.count++
 		for _, name := range names {
-			ev := Observation{Kind: Success, Latency: time.Duration(slow * float64(work))}
+			o := Observation{Kind: Success, Latency: time.Duration(slow * float64(work))}
 			if s.count*fail/100 != (s.count-1)*fail/100 {
-				ev.Kind = Failure
+				o.Kind = Failure
 			}
-			s.detector.Observe(s.now, name, ev)
+			s.detector.Observe(s.now, name, o)
 		}
-		s.pass(every)
+		s.pass(interval)
 	}
 }
 
--- a/eject/service.go
+++ b/eject/service.go
@@ -7,72 +7,77 @@
 )
 
 const (
-	failureMemory = 50.0
-	// What failed just now, over about this many answers, shows a common cause before the long shares do.
-	recentMemory = 5.0
-	marksEvery   = 16
-	marksLeast   = 20
-	rateWindow   = 10 * time.Second
-	rampStart    = 0.25
+	maxFailureWindow = 50.0
+	// Failures over about this many recent answers reveal a common cause before the failure shares of maxFailureWindow
+	// answers do.
+	recentWindow = 5.0
+	// The baselines are updated once per baselinesInterval answers, from endpoints with at least minBaselineSamples.
+	baselinesInterval  = 16
+	minBaselineSamples = 20
+	rateWindow         = 10 * time.Second
+	rampStart          = 0.25
 
-	// Where a normal distribution has the quantiles that the spread is read from, in standard deviations.
+	// The spread is estimated from the upper, slow and late quantiles. In a normal distribution they lie 1, slowNormal
+	// and lateNormal standard deviations above the median.
 	upperQuantile = 0.84
 	slowNormal    = 1.645
 	lateNormal    = 2.576
-	// Times longer by less than half never count as shifted, however alike the others' times are.
-	leastSpread = 0.55
+	// The lower bound of Spread: service times longer by less than half never count as shifted, however similar the
+	// others' times are.
+	minSpread = 0.55
 )
 
+// endpoint is the detector's state of one endpoint.
 type endpoint struct {
 	Endpoint
-	tests     tests
-	times     histogram
-	failShare float64
-	failSeen  float64
-	failNow   float64
-	timeNow   float64
-	phase     Phase
-	ejections int
-	until     time.Time
-	since     time.Time
-	good      int
-	share     float64
-	rate      float64
-	rateFrom  time.Time
-	rateCount int
+	tests              tests
+	latencies          histogram
+	failureShare       float64
+	failureSamples     float64
+	recentFailureShare float64
+	recentLogLatency   float64
+	phase              Phase
+	ejections          int
+	until              time.Time
+	since              time.Time
+	trickleSuccesses   int
+	share              float64
+	rate               float64
+	rateSince          time.Time
+	rateCount          int
 }
 
-// Service is the detector of one service; one goroutine owns it.
+// Detector is the outlier detector of one service; one goroutine owns it.
 type Detector struct {
-	cfg       Config
-	endpoints []*endpoint
-	byKey     map[string]*endpoint
-	marks     Baselines
-	sinceMark int
+	cfg            Config
+	endpoints      []*endpoint
+	byKey          map[string]*endpoint
+	baselines      Baselines
+	sinceBaselines int
 }
 
-// NewService returns a detector without endpoints.
+// NewDetector returns a detector without endpoints.
 func NewDetector(cfg Config) *Detector {
 	return &Detector{cfg: cfg, byKey: make(map[string]*endpoint)}
 }
 
-// SetConfig replaces the policy and keeps the evidence.
+// SetConfig replaces the policy and keeps the test scores.
 func (s *Detector) SetConfig(now time.Time, cfg Config) {
 	s.cfg = cfg
 	s.enforceFloor(now)
 }
 
-// SetEndpoints replaces the list of endpoints and keeps the evidence of those that stay.
+// SetEndpoints replaces the list of endpoints and keeps the test scores of those that remain.
 func (s *Detector) SetEndpoints(now time.Time, list []Endpoint) {
 	byKey := make(map[string]*endpoint, len(list))
 	s.endpoints = s.endpoints[:0]
-	for _, spec := range list {
-		e := s.byKey[spec.Key]
+	for _, described := range list {
+		e := s.byKey[described.Key]
 		if e == nil {
-			e = &endpoint{share: 1, since: now, rateFrom: now}
+			e = &endpoint{share: 1, since: now, rateSince: now}
 		}
-		e.Endpoint = spec
-		byKey[spec.Key] = e
+		e.Endpoint = described
+		byKey[described.Key] = e
 		s.endpoints = append(s.endpoints, e)
 	}
 	slices.SortFunc(s.endpoints, func(a, b *endpoint) int { return cmp.Compare(a.Key, b.Key) })
@@ -80,90 +85,95 @@
 	s.enforceFloor(now)
 }
 
-// Marks returns the service times that count as slow now.
-func (s *Detector) Baselines() Baselines { return s.marks }
+// Baselines returns the service's current baselines.
+func (s *Detector) Baselines() Baselines { return s.baselines }
 
-// Observe takes one piece of evidence; events of unknown endpoints are ignored.
-func (s *Detector) Observe(now time.Time, key string, ev Observation) {
+// Observe records the result of a request; unknown endpoints are ignored.
+func (s *Detector) Observe(now time.Time, key string, o Observation) {
 	e := s.byKey[key]
 	if e == nil {
 		return
 	}
 	e.countRate(now)
-	bad := s.weigh(now, e, ev)
+	isBad := s.updateTests(now, e, o)
 	switch e.phase {
 	case Serving, LastChoice, Ramp:
-		s.judge(now, e)
+		s.applyThreshold(now, e)
 	case Trickle:
-		s.judgeTrickle(now, e, bad)
+		s.observeTrickle(now, e, isBad)
 	case Ejected:
-		// Late answers of work that was sent before.
+		// Late answers to requests that were sent before the ejection say nothing about its end.
 	}
 }
 
-// Report takes evidence that a node beside the endpoint gathered from other callers' work.
+// ObserveCounts records the results of other nodes' requests, as counted by the node beside the endpoint.
 func (s *Detector) ObserveCounts(now time.Time, key string, finished, failed uint64) {
 	e := s.byKey[key]
 	if e == nil || e.phase == Ejected || e.phase == Trickle {
 		return
 	}
-	const mostAtOnce = 64
-	// The others' share is the same for all of them: it leaves this endpoint out. To look it up for each one costs 64 times as
-	// much, most of a node's processor time where it meets each of hundreds of endpoints once a minute.
+	const maxObservations = 64
+	// The other endpoints' failure share is the same for all observations, because it excludes this endpoint. Computing
+	// it for each of 64 observations costs 64 times as much, which took most of a node's processor time where a node
+	// sees each of hundreds of endpoints once a minute.
 	healthy := s.healthyFailures(e)
-	for i := range min(finished, mostAtOnce) {
+	for i := range min(finished, maxObservations) {
 		e.countRate(now)
-		e.tests.failure(i < failed, healthy)
-		e.noteFailure(i < failed)
+		e.tests.observeFailure(i < failed, healthy)
+		e.observeFailure(i < failed)
 	}
-	s.judge(now, e)
+	s.applyThreshold(now, e)
 }
 
-// weigh feeds the tests and returns whether the event speaks against the endpoint.
-func (s *Detector) weigh(now time.Time, e *endpoint, ev Observation) bool {
-	if ev.Kind != Overdue {
-		failed := ev.Kind == Failure
-		e.tests.failure(failed, s.healthyFailures(e))
-		e.noteFailure(failed)
+// updateTests adds an observation to the tests and reports whether it counts against the endpoint.
+func (s *Detector) updateTests(now time.Time, e *endpoint, o Observation) bool {
+	if o.Kind != Overdue {
+		failed := o.Kind == Failure
+		e.tests.observeFailure(failed, s.healthyFailures(e))
+		e.observeFailure(failed)
 	}
-	late := s.marks.Known && ev.Latency > s.marks.Late
-	if ev.Kind == Failure {
+	late := s.baselines.Known && o.Latency > s.baselines.Late
+	if o.Kind == Failure {
 		return true
 	}
-	if s.marks.Known && !ev.WasOverdue {
-		m := s.marks.times(s.commonSlowdown(e))
-		e.tests.slowness(now, ev.Latency, m)
-		e.tests.shift(ev.Latency, m)
+	if s.baselines.Known && !o.WasOverdue {
+		m := s.baselines.scaled(s.commonSlowdown(e))
+		e.tests.observeSlowness(now, o.Latency, m)
+		e.tests.observeShift(o.Latency, m)
 	}
-	e.noteRecent(ev.Latency)
-	if ev.Kind == Success {
-		e.times.add(ev.Latency)
-		s.refreshMarks()
+	e.observeLatency(o.Latency)
+	if o.Kind == Success {
+		e.latencies.add(o.Latency)
+		s.updateBaselines()
 	}
 	return late
 }
 
+// countRate measures the rate of observations, on which the threshold depends.
 func (e *endpoint) countRate(now time.Time) {
 	e.rateCount++
-	elapsed := now.Sub(e.rateFrom)
+	elapsed := now.Sub(e.rateSince)
 	if elapsed < rateWindow {
 		return
 	}
 	e.rate = float64(e.rateCount) / elapsed.Seconds()
-	e.rateFrom = now
+	e.rateSince = now
 	e.rateCount = 0
 }
 
+// threshold returns the score at which an endpoint is ejected; in the ramp phase half the usual score suffices.
 func (s *Detector) threshold(e *endpoint) float64 {
-	h := threshold(e.rate, s.cfg.FalseEjections)
+	limit := alarmThreshold(e.rate, s.cfg.FalseEjections)
 	if e.phase == Ramp {
-		h /= 2
+		limit /= 2
 	}
-	return h
+	return limit
 }
 
-func (s *Detector) judge(now time.Time, e *endpoint) {
-	score, _ := e.tests.worst()
+// applyThreshold ejects an endpoint whose score has reached the threshold, as far as the floor allows, and returns a
+// LastChoice endpoint to serving once its score is below half the threshold.
+func (s *Detector) applyThreshold(now time.Time, e *endpoint) {
+	score, _ := e.tests.highest()
 	if score < s.threshold(e) {
 		if e.phase == LastChoice && score < s.threshold(e)/2 {
 			e.serve(now)
@@ -179,10 +189,11 @@
 	s.enforceFloor(now)
 }
 
-// capScore keeps a long spell over the threshold from taking as long to be forgotten.
-func (e *endpoint) capScore(most float64) {
+// capScore bounds the scores, so that recovery takes no longer after a long time over the threshold than after a short
+// one.
+func (e *endpoint) capScore(limit float64) {
 	for i := range e.tests.sums {
-		e.tests.sums[i] = min(e.tests.sums[i], most)
+		e.tests.sums[i] = min(e.tests.sums[i], limit)
 	}
 }
 
@@ -192,13 +203,14 @@
 	e.since = now
 }
 
-func (s *Detector) judgeTrickle(now time.Time, e *endpoint, bad bool) {
-	if bad {
+// observeTrickle ejects an endpoint again after a bad trial, and moves it to the ramp phase after enough good ones.
+func (s *Detector) observeTrickle(now time.Time, e *endpoint, isBad bool) {
+	if isBad {
 		s.eject(now, e)
 		return
 	}
-	e.good++
-	if e.good < s.cfg.TrickleSuccesses {
+	e.trickleSuccesses++
+	if e.trickleSuccesses < s.cfg.TrickleSuccesses {
 		return
 	}
 	e.phase = Ramp
@@ -211,14 +223,15 @@
 	e.phase = Ejected
 	e.share = 0
 	e.since = now
-	e.until = now.Add(s.ejectionTime(e.ejections))
+	e.until = now.Add(s.ejectionDuration(e.ejections))
 	e.ejections++
-	e.good = 0
+	e.trickleSuccesses = 0
 }
 
-func (s *Detector) ejectionTime(before int) time.Duration {
+// ejectionDuration returns the duration of an ejection after a number of earlier ones.
+func (s *Detector) ejectionDuration(earlier int) time.Duration {
 	d := s.cfg.BaseEjectionTime
-	for range before {
+	for range earlier {
 		d *= 2
 		if d >= s.cfg.MaxEjectionTime {
 			return s.cfg.MaxEjectionTime
@@ -227,7 +240,7 @@
 	return d
 }
 
-// Tick moves endpoints on with time; call it several times a second.
+// Tick advances the phases that depend on time; call it several times a second.
 func (s *Detector) Tick(now time.Time) {
 	for _, e := range s.endpoints {
 		switch e.phase {
@@ -235,7 +248,7 @@
 			if !now.Before(e.until) {
 				e.phase = Trickle
 				e.since = now
-				e.good = 0
+				e.trickleSuccesses = 0
 				e.tests.reset()
 			}
 		case Ramp:
@@ -251,6 +264,7 @@
 	s.enforceFloor(now)
 }
 
+// ramp doubles the endpoint's share after each step, until it serves.
 func (e *endpoint) ramp(now time.Time, step time.Duration) {
 	if now.Sub(e.since) < step {
 		return
@@ -262,19 +276,19 @@
 	}
 }
 
-// suspicion is the score from which an endpoint is under suspicion, in nats.
-const suspicion = 1
+// suspectScore is the score from which an endpoint is suspect, in nats.
+const suspectScore = 1
 
-// Verdict returns what to do with an endpoint; an unknown one serves.
+// Verdict returns the detector's decision about an endpoint; an unknown endpoint serves.
 func (s *Detector) Verdict(key string) Verdict {
 	e := s.byKey[key]
 	if e == nil {
 		return Verdict{Share: 1}
 	}
-	score, test := e.tests.worst()
+	score, test := e.tests.highest()
 	return Verdict{
 		Phase: e.phase, Share: e.share, Score: score, Threshold: s.threshold(e),
-		Suspect: e.phase == Serving && score >= suspicion,
+		Suspect: e.phase == Serving && score >= suspectScore,
 		Test:    test, Ejections: e.ejections, Until: e.until,
 	}
 }
