--- a/balance/balance.go
+++ b/balance/balance.go
@@ -5,49 +5,50 @@
 	"time"
 )
 
-// Candidate is one endpoint as the chooser sees it at this moment.
+// Candidate describes an endpoint to the load balancer at the moment of the choice.
 type Candidate struct {
 	// Key names the endpoint.
 	Key string
-	// Weight is its configured weight times its slots, scaled by the share it may take.
+	// Weight is the endpoint's configured weight times its slots, scaled by the share that it may take.
 	Weight float64
-	// Slots is how many requests it runs at once.
+	// Slots is how many requests the endpoint runs at once.
 	Slots int
-	// Outstanding is how many requests it is known to hold: the larger of the chooser's own and of the last report.
+	// Outstanding is how many requests the endpoint is known to hold: the larger of this node's own and the last
+	// report.
 	Outstanding int
-	// Latency is its recent service time, 0 while unknown.
+	// Latency is the endpoint's recent service time, 0 while unknown.
 	Latency time.Duration
-	// Far is set for an endpoint of another hall, which is chosen only when those of the own hall are full: the way costs
-	// time and the links between halls are dear.
+	// OtherHall is set for an endpoint of another hall. It is chosen only when the endpoints of the own hall are full,
+	// because the round trip costs time and the links between halls are expensive.
 	OtherHall bool
-	// Distance is the time that the way there and back takes.
+	// RTT is the round-trip time to the endpoint.
 	RTT time.Duration
-	// SuccessShare is the recent share of good answers, 0 to 1.
+	// SuccessRate is the recent share of good answers, 0 to 1.
 	SuccessRate float64
-	// Suspect is judged by its load alone: steering work away from it would starve the detector of the evidence that
-	// clears it or takes it out.
+	// Suspect candidates are compared by their load alone: steering requests away from one would starve the detector of
+	// the observations that clear or eject it.
 	Suspect bool
-	// LastChoice is used only when every other candidate is full.
+	// LastChoice candidates are chosen only when all others are full.
 	LastChoice bool
 }
 
 const (
-	// defaultLatency stands for a service time that nobody has seen.
+	// defaultLatency is assumed while the service time is unknown.
 	defaultLatency = 5 * time.Millisecond
-	// leastSuccess keeps a few failures from making the cost endless.
-	leastSuccess = 0.05
+	// minSuccessRate bounds the cost of a candidate that has failed a few times.
+	minSuccessRate = 0.05
 	// samples is how many candidates are drawn.
 	samples = 2
 )
 
-// Cost returns the expected time to a good answer in seconds: the way, the wait behind what is outstanding, the
-// work, all as often as the success share demands.
+// Cost returns the expected time to a good answer in seconds: the round trip, the wait for outstanding requests and the
+// service time, divided by the success rate to allow for retries.
 func Cost(c Candidate) float64 {
 	latency := c.Latency
 	if latency == 0 {
 		latency = defaultLatency
 	}
-	success := max(c.SuccessRate, leastSuccess)
+	success := max(c.SuccessRate, minSuccessRate)
 	slots := float64(max(c.Slots, 1))
 	waiting := max(0, float64(c.Outstanding)+1-slots) / slots
 	busy := float64(c.Outstanding) / slots
@@ -55,17 +56,17 @@
 	return (work + c.RTT.Seconds()) / success
 }
 
-// neutral gives those under suspicion the best latency and success of the others.
-func neutral(candidates []Candidate) {
+// neutralizeSuspects gives suspect candidates the best latency of the others and a success rate of 1.
+func neutralizeSuspects(candidates []Candidate) {
 	best := time.Duration(0)
-	some := false
+	anySuspect := false
 	for _, c := range candidates {
-		some = some || c.Suspect
+		anySuspect = anySuspect || c.Suspect
 		if !c.Suspect && c.Latency > 0 && (best == 0 || c.Latency < best) {
 			best = c.Latency
 		}
 	}
-	if !some {
+	if !anySuspect {
 		return
 	}
 	for i := range candidates {
@@ -76,41 +77,42 @@
 	}
 }
 
-// free tells whether a candidate has a slot for one request more.
-func free(c Candidate) bool { return c.Outstanding < c.Slots }
+// hasFreeSlot reports whether a candidate has a slot for another request.
+func hasFreeSlot(c Candidate) bool { return c.Outstanding < c.Slots }
 
-// Choose returns the index of a candidate, -1 if there is none. Two are drawn by weight and the cheaper one is
-// taken: with views that lag, taking the cheapest of all sends every chooser to the same endpoint.
+// Choose returns the index of a candidate, or -1 if there is none. It draws two candidates by weight and takes the one
+// of lower cost. Taking the lowest cost of all would send the requests of all nodes to the same endpoint, because their
+// views of the load lag behind.
 func Choose(candidates []Candidate, r *rand.Rand) int {
-	neutral(candidates)
-	steps := [...]func(Candidate) bool{
-		func(c Candidate) bool { return !c.OtherHall && !c.LastChoice && free(c) },
-		func(c Candidate) bool { return !c.LastChoice && free(c) },
-		func(c Candidate) bool { return c.LastChoice && free(c) },
+	neutralizeSuspects(candidates)
+	tiers := [...]func(Candidate) bool{
+		func(c Candidate) bool { return !c.OtherHall && !c.LastChoice && hasFreeSlot(c) },
+		func(c Candidate) bool { return !c.LastChoice && hasFreeSlot(c) },
+		func(c Candidate) bool { return c.LastChoice && hasFreeSlot(c) },
 		func(Candidate) bool { return true },
 	}
-	for _, fits := range steps {
-		if i := choose(candidates, r, fits); i >= 0 {
+	for _, eligible := range tiers {
+		if i := choose(candidates, r, eligible); i >= 0 {
 			return i
 		}
 	}
 	return -1
 }
 
-// Least returns the index of the candidate with the least work outstanding for its slots and speed, -1 if there is none;
-// among equals one is drawn. It is for a request that will wait there anyway.
+// LowestCost returns the index of the candidate with the lowest Cost, or -1 if there is none; ties are broken at
+// random. It is meant for a request that will have to wait at the endpoint anyway.
 func LowestCost(candidates []Candidate, r *rand.Rand) int {
-	neutral(candidates)
-	best, least, ties := -1, 0.0, 0
+	neutralizeSuspects(candidates)
+	best, lowest, ties := -1, 0.0, 0
 	for i, c := range candidates {
 		if c.Weight <= 0 {
 			continue
 		}
 		cost := Cost(c)
 		switch {
-		case best < 0 || cost < least:
-			best, least, ties = i, cost, 1
-		case cost == least:
+		case best < 0 || cost < lowest:
+			best, lowest, ties = i, cost, 1
+		case cost == lowest:
 			ties++
 			if r.IntN(ties) == 0 {
 				best = i
@@ -120,10 +122,11 @@
 	return best
 }
 
-func choose(candidates []Candidate, r *rand.Rand, fits func(Candidate) bool) int {
+// choose draws candidates by weight among the eligible ones and returns the index of the cheapest drawn, or -1.
+func choose(candidates []Candidate, r *rand.Rand, eligible func(Candidate) bool) int {
 	total := 0.0
 	for _, c := range candidates {
-		if fits(c) {
+		if eligible(c) {
 			total += c.Weight
 		}
 	}
@@ -132,7 +135,7 @@
 	}
 	best := -1
 	for range samples {
-		i := draw(candidates, fits, r.Float64()*total)
+		i := draw(candidates, eligible, r.Float64()*total)
 		if best < 0 || i >= 0 && Cost(candidates[i]) < Cost(candidates[best]) {
 			best = i
 		}
@@ -140,15 +143,16 @@
 	return best
 }
 
-func draw(candidates []Candidate, fits func(Candidate) bool, at float64) int {
+// draw returns the index of the eligible candidate at a position in the sum of the weights, or -1 if there is none.
+func draw(candidates []Candidate, eligible func(Candidate) bool, position float64) int {
 	last := -1
 	for i, c := range candidates {
-		if !fits(c) || c.Weight <= 0 {
+		if !eligible(c) || c.Weight <= 0 {
 			continue
 		}
 		last = i
-		at -= c.Weight
-		if at < 0 {
+		position -= c.Weight
+		if position < 0 {
 			return i
 		}
 	}
--- a/balance/capacity_test.go
+++ b/balance/capacity_test.go
@@ -23,25 +23,25 @@
 	}
 }
 
-// TestChooseSpares checks what a choice prefers: a free endpoint to a full one, a near one to a far one, a last choice
-// only when the others are full, and an endpoint under suspicion no less than others.
-func TestChooseSpares(t *testing.T) {
+// TestChoosePreferences checks what a choice prefers: a free endpoint to a full one, a fast or near one to a slow or
+// distant one, and a last choice only when the others are full. A suspect endpoint is chosen as often as the others.
+func TestChoosePreferences(t *testing.T) {
 	free := Candidate{Weight: 1, Slots: 2, Latency: 10 * time.Millisecond, SuccessRate: 1}
-	full, far, last, slow, suspect := free, free, free, free, free
+	full, distant, last, slow, suspect := free, free, free, free, free
 	full.Outstanding = 2
-	far.RTT = 5 * time.Millisecond
+	distant.RTT = 5 * time.Millisecond
 	last.LastChoice = true
 	slow.Latency = 50 * time.Millisecond
 	suspect.Latency, suspect.SuccessRate, suspect.Suspect = 50*time.Millisecond, 0.2, true
 	cases := []struct {
-		name  string
-		other Candidate
-		most  float64
-		least float64
+		name     string
+		other    Candidate
+		maxShare float64
+		minShare float64
 	}{
 		{"full", full, 0, 0},
 		{"last choice", last, 0, 0},
-		{"far", far, 0.35, 0.15},
+		{"distant", distant, 0.35, 0.15},
 		{"slow", slow, 0.35, 0.15},
 		{"suspect", suspect, 0.6, 0.4},
 	}
@@ -54,8 +54,8 @@
 				hits++
 			}
 		}
-		if got := float64(hits) / draws; got > c.most || got < c.least {
-			t.Errorf("%s: got a share of %.2f, want %.2f to %.2f", c.name, got, c.least, c.most)
+		if got := float64(hits) / draws; got > c.maxShare || got < c.minShare {
+			t.Errorf("%s: got a share of %.2f, want %.2f to %.2f", c.name, got, c.minShare, c.maxShare)
 		}
 	}
 	if got, want := Choose(nil, rand.New(rand.NewPCG(1, 1))), -1; got != want {
--- a/balance/doc.go
+++ b/balance/doc.go
@@ -1,3 +1,3 @@
-// Package balance chooses an endpoint for a request. It is pure: the view, the excluded endpoints and the random
-// numbers come in, the choice goes out.
+// Package balance chooses an endpoint for a request by weighted power-of-two-choices. It is pure: it gets the
+// candidates and the random numbers, and returns the choice.
 package balance
