--- a/subset/doc.go
+++ b/subset/doc.go
@@ -1,10 +1,10 @@
-// Package subset decides which endpoints of a service a node sends to, of those that it knows: a bounded number, so that its
-// links, its evidence and its choices cost the same in a fleet of thirty nodes and of three thousand, and so that what it
-// learns of an endpoint is dense enough to judge by.
+// Package subset chooses the endpoints of a service that a node sends requests to. The number is bounded for two
+// reasons: a node's links, observations and choices cost the same in a fleet of thirty nodes as in one of three
+// thousand, and a node sends each of its endpoints enough requests to judge it by.
 //
-// Nodes choose without agreement. Each works out, from the same list of nodes and endpoints, how all nodes of its hall choose
-// one after the other (consistent hashing with bounded loads, Mirrokni, Thorup and Zadimoghaddam, 2016): a node draws places on
-// a circle of the endpoints and takes at each the next endpoint that has room for one more chooser. So no endpoint has many
-// more choosers than another, and a node or an endpoint that comes or goes moves few choices. Lists that differ a little lead to
-// choices that differ a little; nothing depends on their being equal.
+// The nodes need no agreement. From the list of nodes and endpoints each node computes how all nodes of its hall
+// choose, one after the other, by consistent hashing with bounded loads (Mirrokni, Thorup and Zadimoghaddam, 2016): a
+// node draws points on a ring of the endpoints and takes at each point the next endpoint that has not reached its limit
+// of nodes. So the numbers of nodes per endpoint are almost equal, and few choices change when a node or an endpoint is
+// added or removed. Lists that differ a little lead to choices that differ a little; nothing depends on equal lists.
 package subset
--- a/subset/subset.go
+++ b/subset/subset.go
@@ -7,102 +7,103 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// places is how many places an endpoint has on the circle, so that the parts of it which end there are about alike: with one
-// place a fifth of the choices of a hall of 167 move when an endpoint goes, with eight a tenth (TestTable).
-const places = 8
+// pointsPerEndpoint is how many points each endpoint has on the ring, so that their sections of the ring are of similar
+// length. With one point, a fifth of the choices in a hall of 167 change when an endpoint is removed; with eight, a
+// tenth (TestTable).
+const pointsPerEndpoint = 8
 
-// place is where a choice falls to an endpoint.
-type place struct {
-	at       uint64
+// point is the end of a section of the ring that belongs to an endpoint.
+type point struct {
+	hash     uint64
 	endpoint int
 }
 
-// circle is the endpoints of one hall.
-type circle struct {
-	places []place
-	// room is how many more choosers each endpoint may have.
-	room []int
+// ring holds the endpoints of one hall.
+type ring struct {
+	points []point
+	// capacity is how many more nodes may choose each endpoint.
+	capacity []int
 }
 
-func newCircle(endpoints []string, room int) *circle {
-	c := &circle{places: make([]place, 0, places*len(endpoints)), room: make([]int, len(endpoints))}
+func newRing(endpoints []string, capacity int) *ring {
+	r := &ring{points: make([]point, 0, pointsPerEndpoint*len(endpoints)), capacity: make([]int, len(endpoints))}
 	for i, key := range endpoints {
-		c.room[i] = room
-		h := xxhash.Sum64String(key)
-		for n := range uint64(places) {
-			c.places = append(c.places, place{at: mix(h, n), endpoint: i})
+		r.capacity[i] = capacity
+		hash := xxhash.Sum64String(key)
+		for n := range uint64(pointsPerEndpoint) {
+			r.points = append(r.points, point{hash: mix(hash, n), endpoint: i})
 		}
 	}
-	slices.SortFunc(c.places, func(a, b place) int {
-		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.endpoint, b.endpoint))
+	slices.SortFunc(r.points, func(a, b point) int {
+		return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.endpoint, b.endpoint))
 	})
-	return c
+	return r
 }
 
-// Choose returns the places in endpoints of those that a chooser sends to, in the order of its preference: all of them where
-// there are no more than size. Both lists are in any order that every chooser shares, such as by name.
+// Choose returns the indexes of the endpoints that the node self chooses, in order of preference; if there are no more
+// than size, all of them. Both lists may be in any order that all nodes share, such as by name.
 //
-// Invariant: it returns as many as asked for, all different. Of the choices of all choosers, worked out from the same lists, no
-// endpoint has more than the mean rounded up, nor less than the mean rounded down, but for a few where the last choosers find
-// no other that they have not chosen.
-func Choose(choosers []string, self string, endpoints []string, size int) []int {
-	if size >= len(endpoints) || !slices.Contains(choosers, self) {
+// Invariant: it returns as many endpoints as asked for, all different. Over the choices that all nodes compute from
+// the same lists, no endpoint is chosen by more nodes than the mean rounded up, nor by fewer than the mean rounded
+// down, apart from a few where the last nodes find no other endpoint that they have not chosen yet.
+func Choose(nodes []string, self string, endpoints []string, size int) []int {
+	if size >= len(endpoints) || !slices.Contains(nodes, self) {
 		return Order(self, endpoints)[:min(size, len(endpoints))]
 	}
-	mean := float64(size) * float64(len(choosers)) / float64(len(endpoints))
-	c := newCircle(endpoints, int(mean))
+	mean := float64(size) * float64(len(nodes)) / float64(len(endpoints))
+	r := newRing(endpoints, int(mean))
 	var chosen []int
-	for _, h := range ranked(choosers) {
-		chosen = c.draw(chosen[:0], h.hash, size)
-		if choosers[h.index] == self {
+	for _, h := range byHash(nodes) {
+		chosen = r.draw(chosen[:0], h.hash, size)
+		if nodes[h.index] == self {
 			break
 		}
 	}
 	return chosen
 }
 
-// draw takes a chooser's endpoints off the circle's room.
-func (c *circle) draw(chosen []int, chooser uint64, size int) []int {
+// draw chooses the endpoints of one node and reduces their capacity.
+func (r *ring) draw(chosen []int, node uint64, size int) []int {
 	for n := range size {
-		at := mix(chooser, uint64(n))
-		e := c.next(chosen, at)
+		hash := mix(node, uint64(n))
+		e := r.next(chosen, hash)
 		for e < 0 {
-			c.raise()
-			e = c.next(chosen, at)
+			r.raiseCapacity()
+			e = r.next(chosen, hash)
 		}
-		c.room[e]--
+		r.capacity[e]--
 		chosen = append(chosen, e)
 	}
 	return chosen
 }
 
-// next returns the next endpoint from a place on that has room and is not chosen yet, -1 if there is none.
-func (c *circle) next(chosen []int, from uint64) int {
-	at, _ := slices.BinarySearchFunc(c.places, from, func(p place, at uint64) int { return cmp.Compare(p.at, at) })
-	for i := range c.places {
-		e := c.places[(at+i)%len(c.places)].endpoint
-		if c.room[e] > 0 && !slices.Contains(chosen, e) {
+// next returns the first endpoint at or after a point that has capacity and is not chosen yet, or -1 if there is none.
+func (r *ring) next(chosen []int, from uint64) int {
+	start, _ := slices.BinarySearchFunc(r.points, from, func(p point, from uint64) int { return cmp.Compare(p.hash, from) })
+	for i := range r.points {
+		e := r.points[(start+i)%len(r.points)].endpoint
+		if r.capacity[e] > 0 && !slices.Contains(chosen, e) {
 			return e
 		}
 	}
 	return -1
 }
 
-// raise makes room for one chooser more at every endpoint, once the chooser under way finds none.
-func (c *circle) raise() {
-	for e := range c.room {
-		c.room[e]++
+// raiseCapacity lets one more node choose each endpoint, when the current node finds none with capacity.
+func (r *ring) raiseCapacity() {
+	for e := range r.capacity {
+		r.capacity[e]++
 	}
 }
 
-// hashed is an entry of a list with its hash.
+// hashed is the index of a list's element and the hash of the element.
 type hashed struct {
 	index int
 	hash  uint64
 }
 
-// ranked returns the places of a list's entries by their hashes.
-func ranked(list []string) []hashed {
+// byHash returns the elements of a list in the order of their hashes.
+func byHash(list []string) []hashed {
 	out := make([]hashed, len(list))
 	for i, key := range list {
 		out[i] = hashed{index: i, hash: xxhash.Sum64String(key)}
@@ -111,8 +112,8 @@
 	return out
 }
 
-// Order returns the places in endpoints of all of them, in the order in which a chooser goes beyond those of Choose
-// (rendezvous hashing, so that each chooser's order is its own).
+// Order returns the indexes of all endpoints in the order in which a node goes beyond those of Choose. Rendezvous
+// hashing gives each node an order of its own.
 func Order(self string, endpoints []string) []int {
 	h := xxhash.Sum64String(self)
 	order := make([]hashed, len(endpoints))
@@ -127,7 +128,8 @@
 	return out
 }
 
-// mix joins two numbers into one that depends on every bit of both (the finalizer of splitmix64, Steele, Lea and Flood, 2014).
+// mix combines two numbers into one that depends on every bit of both (the finalizer of splitmix64, Steele, Lea and
+// Flood, 2014).
 func mix(a, b uint64) uint64 {
 	z := a ^ (b+1)*0x9e3779b97f4a7c15
 	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
