--- a/latency/doc.go
+++ b/latency/doc.go
@@ -1,5 +1,6 @@
-// Package latency learns how long one endpoint's work takes, kind by kind, and tells when work of an age is overdue.
+// Package latency models the service times of one endpoint by kind of request, and computes when a request of some age
+// is overdue.
 //
-// An endpoint does work of very different lengths: a lookup of 100 ms stands beside a booking of 500 ms. One usual time for
-// all of it calls a silent lookup overdue when its caller has long given up.
+// An endpoint's requests differ widely in length: a lookup takes 100 ms, a booking 500 ms. With one usual time for all
+// of them, an unanswered lookup would count as overdue only long after its caller has given up.
 package latency
--- a/latency/kinds.go
+++ b/latency/kinds.go
@@ -6,46 +6,46 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// mostKinds bounds the kinds that are told apart at one endpoint, about 6 KB; the one that was seen longest ago is
-// forgotten first.
-const mostKinds = 64
+// maxKinds bounds the kinds of requests that are modeled separately per endpoint, which takes about 6 KB; the kind that
+// was observed longest ago is dropped first.
+const maxKinds = 64
 
-// Kinds holds a model for each kind of work of one endpoint; its owner locks it.
+// Models holds a model for each kind of request at one endpoint; its owner locks it.
 type Models struct {
 	models *simplelru.LRU[string, *Model]
-	// all stands for kinds that are not known yet.
-	all Model
+	// overall is the model of all requests, for kinds without enough observations.
+	overall Model
 }
 
-// NewKinds returns a value that knows nothing.
+// NewModels returns models without observations.
 func NewModels() *Models {
-	models, err := simplelru.NewLRU[string, *Model](mostKinds, nil)
+	models, err := simplelru.NewLRU[string, *Model](maxKinds, nil)
 	if err != nil {
-		// It fails for a size below one only.
+		// NewLRU fails only for a size below one.
 		panic(err)
 	}
 	return &Models{models: models}
 }
 
-// Note adds the time of one piece of work that ended well.
-func (k *Models) Observe(kind string, d time.Duration) {
-	k.all.Observe(d)
-	m, ok := k.models.Get(kind)
+// Observe adds the time of a request that succeeded.
+func (ms *Models) Observe(kind string, d time.Duration) {
+	ms.overall.Observe(d)
+	m, ok := ms.models.Get(kind)
 	if !ok {
 		m = new(Model)
-		k.models.Add(kind, m)
+		ms.models.Add(kind, m)
 	}
 	m.Observe(d)
 }
 
-// Of returns the model of a kind; while too little of the kind was seen, one of work that usually takes so long, or of all
-// work where usual is 0. It holds until the next Note.
-func (k *Models) For(kind string, usual time.Duration) *Model {
-	if m, ok := k.models.Peek(kind); ok && m.Known() {
+// For returns the model of a kind. Until the kind has enough observations, it returns a prior of requests that usually
+// take as long as usual, or the model of all requests if usual is 0. The model is valid until the next Observe.
+func (ms *Models) For(kind string, usual time.Duration) *Model {
+	if m, ok := ms.models.Peek(kind); ok && m.Known() {
 		return m
 	}
 	if usual > 0 {
 		return Prior(usual)
 	}
-	return &k.all
+	return &ms.overall
 }
