--- a/region/doc.go
+++ b/region/doc.go
@@ -1,2 +1,2 @@
-// Package region says in which regions the data of a request may be.
+// Package region represents the regions in which a request's data may be processed.
 package region
--- a/region/set.go
+++ b/region/set.go
@@ -2,34 +2,34 @@
 
 import "slices"
 
-// Set is the regions in which some data may be; the zero value stands for any. It is immutable.
+// Set holds the regions in which some data may be; the zero value allows all regions. It is immutable.
 type Set struct {
-	bound bool
-	names []string
+	restricted bool
+	names      []string
 }
 
 // Any is the set of all regions.
 var Any Set
 
-// With returns the regions that are also among some names; no names bind nothing.
+// Intersect returns the set restricted to the given regions; an empty list restricts nothing.
 func (s Set) Intersect(names []string) Set {
 	if len(names) == 0 {
 		return s
 	}
 	allowed := slices.Clone(names)
-	if s.bound {
+	if s.restricted {
 		allowed = slices.DeleteFunc(allowed, func(name string) bool { return !slices.Contains(s.names, name) })
 	}
-	return Set{bound: true, names: allowed}
+	return Set{restricted: true, names: allowed}
 }
 
-// Bound tells whether the set leaves some region out.
-func (s Set) IsRestricted() bool { return s.bound }
+// IsRestricted reports whether the set excludes any region.
+func (s Set) IsRestricted() bool { return s.restricted }
 
-// Allows tells whether data may be in a region; where that is not known, "", it is not one of a bound set.
+// Allows reports whether the data may be in a region. A restricted set excludes an unknown region, "".
 func (s Set) Allows(name string) bool {
-	return !s.bound || name != "" && slices.Contains(s.names, name)
+	return !s.restricted || name != "" && slices.Contains(s.names, name)
 }
 
-// Names returns the regions of a bound set; the caller must not change them.
+// Names returns the regions of a restricted set; the caller must not change them.
 func (s Set) Names() []string { return s.names }
--- a/region/set_test.go
+++ b/region/set_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// TestSets checks that each list of names binds, and that what is not known is in no bound set.
-func TestSets(t *testing.T) {
+// TestSetIntersections checks that a region must be in both lists of names, that an empty list restricts nothing, and
+// that a restricted set excludes the unknown region.
+func TestSetIntersections(t *testing.T) {
 	for _, c := range []struct {
 		route, customer []string
 		allowed         map[string]bool
@@ -21,7 +22,7 @@
 			}
 		}
 		if got, want := s.IsRestricted(), len(c.route)+len(c.customer) > 0; got != want {
-			t.Errorf("%v and %v: got bound %v, want %v", c.route, c.customer, got, want)
+			t.Errorf("%v and %v: got restricted %v, want %v", c.route, c.customer, got, want)
 		}
 	}
 }
