--- a/virtual/clock.go
+++ b/virtual/clock.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// clock runs events in the order of their time.
+// clock runs events in the order of their virtual time.
 type clock struct {
-	now    time.Time
-	events eventHeap
-	next   uint64
+	now     time.Time
+	events  eventHeap
+	nextSeq uint64
 }
 
+// event is a function to run at a time; seq orders events of the same time as they were scheduled.
 type event struct {
 	at  time.Time
 	seq uint64
@@ -47,12 +48,13 @@
 
 func newClock() *clock { return &clock{now: time.Unix(0, 0)} }
 
+// after schedules a function to run after a delay.
 func (c *clock) after(d time.Duration, run func()) {
-	c.next++
-	heap.Push(&c.events, event{at: c.now.Add(d), seq: c.next, run: run})
+	c.nextSeq++
+	heap.Push(&c.events, event{at: c.now.Add(d), seq: c.nextSeq, run: run})
 }
 
-// runUntil runs the events up to a time.
+// runUntil runs the events up to and including a time.
 func (c *clock) runUntil(end time.Time) {
 	for len(c.events) > 0 && !c.events[0].at.After(end) {
 		e, _ := heap.Pop(&c.events).(event)
--- a/virtual/doc.go
+++ b/virtual/doc.go
@@ -1,4 +1,4 @@
-// Package virtual feeds the decision packages seeded streams of one service's requests in virtual time and measures
-// detection time, false ejections and what callers get, beside the rules that are commonly run. It is no cluster
-// simulator: one chooser, one service, endpoints as small queues.
+// Package virtual simulates one service in virtual time. It passes seeded streams of requests through the decision
+// packages and measures detection time, false ejections and what callers get, in comparison with commonly used rules.
+// It does not simulate a cluster: there is one load balancer, one service, and endpoints that are small queues.
 package virtual
--- a/virtual/load.go
+++ b/virtual/load.go
@@ -2,41 +2,44 @@
 
 import "time"
 
-// faulty tells whether the fault holds for an endpoint now.
+// faulty reports whether the fault is active at an endpoint now.
 func (r *run) faulty(i int) bool {
-	if !r.measured() || !r.hit(i) {
+	if !r.measured() || !r.affected(i) {
 		return false
 	}
 	period := r.Fault.Flap
-	return period == 0 || ((r.since()-Onset)/period)%2 == 0
+	return period == 0 || ((r.elapsed()-Onset)/period)%2 == 0
 }
 
-// hit tells whether the fault concerns an endpoint at all.
-func (r *run) hit(i int) bool {
+// affected reports whether the fault concerns an endpoint at all.
+func (r *run) affected(i int) bool {
 	if r.Fault.Name == "" {
 		return false
 	}
 	return i == 0 || r.Fault.Hall && i%3 == 0
 }
 
+// exponential draws a duration from an exponential distribution.
 func (r *run) exponential(mean time.Duration) time.Duration {
 	return time.Duration(r.random.ExpFloat64() * float64(mean))
 }
 
+// arrive schedules the next request of a Poisson process, which has bursts while no fault is simulated.
 func (r *run) arrive() {
 	rate := r.Rate * float64(r.Service.Endpoints)
-	if r.since()%burstEvery < burstLength && r.Flood == 0 && r.Fault.Name == "" {
+	if r.elapsed()%burstInterval < burstLength && r.Flood == 0 && r.Fault.Name == "" {
 		rate *= burstFactor
 	}
 	gap := r.exponential(time.Duration(float64(time.Second) / rate))
 	r.clock.after(gap, func() {
-		r.take()
+		r.startRequest()
 		r.arrive()
 	})
 }
 
-func (r *run) take() {
-	q := &request{arrived: r.clock.now, customer: r.customer(), repeatable: r.random.IntN(repeatOneIn) == 0}
+// startRequest creates a request and sends it.
+func (r *run) startRequest() {
+	q := &request{arrived: r.clock.now, customer: r.customer(), repeatable: r.random.IntN(oneRepeatableIn) == 0}
 	if r.measured() {
 		r.result.Requests++
 		if q.customer > 0 {
@@ -47,7 +50,7 @@
 	r.send(q)
 }
 
-// customer draws who sends; customer 0 floods if there is a flood.
+// customer draws the customer that sends a request; customer 0 is the flooding one if there is a flood.
 func (r *run) customer() int {
 	if r.Flood == 0 {
 		return r.random.IntN(customers)
@@ -58,37 +61,40 @@
 	return 1 + r.random.IntN(customers-1)
 }
 
-// pause stops an endpoint for a moment now and then, as a garbage collector does: healthy, but all its work is late.
-func (r *run) pause(i int) {
-	r.clock.after(r.exponential(pauseEvery), func() {
+// schedulePause stops an endpoint briefly from time to time, as a garbage collector does: the endpoint is healthy, but
+// all its requests are late.
+func (r *run) schedulePause(i int) {
+	r.clock.after(r.exponential(pauseInterval), func() {
 		r.endpoints[i].pausedTo = r.clock.now.Add(pauseLength)
-		r.pause(i)
+		r.schedulePause(i)
 	})
 }
 
+// tick advances the policy periodically.
 func (r *run) tick() {
 	r.policy.Tick(r.clock.now)
-	r.watch()
-	r.clock.after(tickEvery, r.tick)
+	r.detectEjections()
+	r.clock.after(tickInterval, r.tick)
 }
 
-// watch notes endpoints that went out of service.
-func (r *run) watch() {
-	for i := range r.out {
-		out := r.policy.OutOfService(i)
-		if out && !r.out[i] {
-			r.wentOut(i)
+// detectEjections records the endpoints that have gone out of service since the last call.
+func (r *run) detectEjections() {
+	for i := range r.outOfService {
+		outOfService := r.policy.OutOfService(i)
+		if outOfService && !r.outOfService[i] {
+			r.recordEjection(i)
 		}
-		r.out[i] = out
+		r.outOfService[i] = outOfService
 	}
 }
 
-func (r *run) wentOut(i int) {
+// recordEjection counts a false ejection, or sets the detection time of the faulty endpoint.
+func (r *run) recordEjection(i int) {
 	switch {
 	case !r.measured():
-	case !r.hit(i):
+	case !r.affected(i):
 		r.result.FalseEjections++
 	case i == 0 && r.result.DetectionTime < 0:
-		r.result.DetectionTime = r.since() - Onset
+		r.result.DetectionTime = r.elapsed() - Onset
 	}
 }
--- a/virtual/policy.go
+++ b/virtual/policy.go
@@ -8,37 +8,38 @@
 	"github.com/lynxplank/lynxplank/eject"
 )
 
-// Policy chooses endpoints and learns from what they do.
+// Policy chooses endpoints and learns from the results of requests.
 type Policy interface {
-	// Pick returns an endpoint that is not among the tried ones, -1 for none; trial marks work for an endpoint that
+	// Pick returns an endpoint that has not been tried, or -1 for none; trial is set for a request to an endpoint that
 	// is out of service.
 	Pick(now time.Time, tried []int, repeatable bool) (endpoint int, trial bool)
-	// Late is when work counts as overdue, 0 for never.
+	// OverdueAfter returns the service time after which a request counts as overdue, 0 for never.
 	OverdueAfter() time.Duration
-	// Overdue tells of work that has not ended after Late.
+	// ObserveOverdue reports a request that has not ended after OverdueAfter.
 	ObserveOverdue(now time.Time, endpoint int)
-	// Done tells how work ended; worked is false for work that the endpoint did not take.
-	Done(now time.Time, endpoint int, trial, worked, failed, wasLate bool, service time.Duration)
-	// Tick lets time pass.
+	// Done reports the end of a request. received is false if the endpoint refused the request or its answer was lost,
+	// so that the result says nothing about the work; wasOverdue is set if ObserveOverdue was called for it.
+	Done(now time.Time, endpoint int, trial, received, failed, wasOverdue bool, serviceTime time.Duration)
+	// Tick advances the policy's time.
 	Tick(now time.Time)
-	// Usable tells of a link that was found cut, or whole again.
+	// SetUsable reports that the link to an endpoint was found to be cut, or to work again.
 	SetUsable(now time.Time, endpoint int, usable bool)
-	// Out tells whether an endpoint gets no ordinary work.
+	// OutOfService reports whether an endpoint gets no ordinary requests.
 	OutOfService(endpoint int) bool
 }
 
-// Service is one of the brief's services.
+// Service describes a simulated service.
 type Service struct {
-	// Name is the brief's.
+	// Name is the service's name in the brief.
 	Name string
-	// Endpoints and Slots are its size.
+	// Endpoints is the number of endpoints, and Slots the number of slots of each.
 	Endpoints, Slots int
-	// FalseEjections is the operator's number.
+	// FalseEjections is how many false ejections per endpoint and day the operator accepts.
 	FalseEjections float64
 }
 
-// Services are the brief's, with the numbers that their operators would set: the first two bear few false ejections, the
-// others want fast detection.
+// Services are the services of the brief, with the numbers that their operators would set: the first two accept few
+// false ejections, the others prefer fast detection.
 var Services = []Service{
 	{"docket-desk", 15, 4, 0.001},
 	{"filing-hub", 6, 4, 0.001},
@@ -46,15 +47,15 @@
 	{"dispatch-core", 8, 3, 1},
 }
 
-// NewPolicy makes a policy for a service.
+// NewPolicy creates a policy for a service.
 type NewPolicy func(s Service, r *rand.Rand) Policy
 
-// roundRobin takes every endpoint in turn and ejects none.
+// roundRobin uses the endpoints in turn and ejects none.
 type roundRobin struct {
 	n, next int
 }
 
-// NewRoundRobin returns the first baseline.
+// NewRoundRobin returns the round-robin policy, the first of the policies that the product is compared with.
 func NewRoundRobin(s Service, _ *rand.Rand) Policy { return &roundRobin{n: s.Endpoints} }
 
 func (p *roundRobin) Pick(_ time.Time, tried []int, _ bool) (int, bool) {
@@ -83,136 +84,141 @@
 func (p *roundRobin) SetUsable(time.Time, int, bool)                             {}
 func (p *roundRobin) OutOfService(int) bool                                      { return false }
 
-// The common rule: five failures in a row, or a failure share that is more than a fixed factor of the mean's spread
-// beyond it, eject for 30 s, at most half of the endpoints.
+// The conventional rule ejects an endpoint for 30 s after five consecutive failures, or if its success rate is more
+// than a fixed number of standard deviations below the mean, and never ejects more than half of the endpoints.
 const (
-	commonInRow    = 5
-	commonTime     = 30 * time.Second
-	commonInterval = 10 * time.Second
-	commonLeast    = 100
-	commonFactor   = 1.9
+	conventionalFailures     = 5
+	conventionalEjectionTime = 30 * time.Second
+	conventionalInterval     = 10 * time.Second
+	conventionalMinRequests  = 100
+	conventionalStddevFactor = 1.9
 )
 
-type common struct {
+// conventional combines round robin with the conventional ejection rule.
+type conventional struct {
 	roundRobin
-	limit    int
-	byShare  bool
-	inRow    []int
-	until    []time.Time
-	ok, all  []float64
-	measured time.Time
-	now      time.Time
+	limit               int
+	bySuccessRate       bool
+	consecutiveFailures []int
+	ejectedUntil        []time.Time
+	succeeded, total    []float64
+	evaluatedAt         time.Time
+	now                 time.Time
 }
 
-// NewCommon returns the second baseline.
-func NewConventional(s Service, _ *rand.Rand) Policy { return newCommon(s, commonInRow, true) }
+// NewConventional returns the second policy that the product is compared with: round robin with the conventional
+// ejection rule.
+func NewConventional(s Service, _ *rand.Rand) Policy {
+	return newConventional(s, conventionalFailures, true)
+}
 
-// NewInRow returns the common rule with another number of failures in a row and without the failure share.
+// NewConsecutiveFailures returns the conventional rule with another limit of consecutive failures and without the
+// success rate.
 func NewConsecutiveFailures(limit int) NewPolicy {
-	return func(s Service, _ *rand.Rand) Policy { return newCommon(s, limit, false) }
+	return func(s Service, _ *rand.Rand) Policy { return newConventional(s, limit, false) }
 }
 
-func newCommon(s Service, limit int, byShare bool) Policy {
+func newConventional(s Service, limit int, bySuccessRate bool) Policy {
 	n := s.Endpoints
-	return &common{
-		limit: limit, byShare: byShare,
-		roundRobin: roundRobin{n: n}, inRow: make([]int, n), until: make([]time.Time, n),
-		ok: make([]float64, n), all: make([]float64, n),
+	return &conventional{
+		limit: limit, bySuccessRate: bySuccessRate,
+		roundRobin: roundRobin{n: n}, consecutiveFailures: make([]int, n), ejectedUntil: make([]time.Time, n),
+		succeeded: make([]float64, n), total: make([]float64, n),
 	}
 }
 
-func (p *common) Pick(now time.Time, tried []int, repeatable bool) (int, bool) {
+func (p *conventional) Pick(now time.Time, tried []int, repeatable bool) (int, bool) {
 	for range p.n {
 		i, _ := p.roundRobin.Pick(now, tried, repeatable)
-		if i >= 0 && !now.Before(p.until[i]) {
+		if i >= 0 && !now.Before(p.ejectedUntil[i]) {
 			return i, false
 		}
 	}
 	return p.roundRobin.Pick(now, tried, repeatable)
 }
 
-func (p *common) Done(now time.Time, i int, _, worked, failed, _ bool, _ time.Duration) {
-	if !worked {
+func (p *conventional) Done(now time.Time, i int, _, received, failed, _ bool, _ time.Duration) {
+	if !received {
 		return
 	}
-	p.all[i]++
+	p.total[i]++
 	if !failed {
-		p.ok[i]++
-		p.inRow[i] = 0
+		p.succeeded[i]++
+		p.consecutiveFailures[i] = 0
 		return
 	}
-	if p.inRow[i]++; p.inRow[i] >= p.limit {
+	if p.consecutiveFailures[i]++; p.consecutiveFailures[i] >= p.limit {
 		p.eject(now, i)
 	}
 }
 
-func (p *common) eject(now time.Time, i int) {
-	out := 0
-	for _, u := range p.until {
+func (p *conventional) eject(now time.Time, i int) {
+	ejected := 0
+	for _, u := range p.ejectedUntil {
 		if now.Before(u) {
-			out++
+			ejected++
 		}
 	}
-	if out < p.n/2 {
-		p.until[i] = now.Add(commonTime)
+	if ejected < p.n/2 {
+		p.ejectedUntil[i] = now.Add(conventionalEjectionTime)
 	}
-	p.inRow[i] = 0
+	p.consecutiveFailures[i] = 0
 }
 
-func (p *common) Tick(now time.Time) {
+func (p *conventional) Tick(now time.Time) {
 	p.now = now
-	if !p.byShare || now.Sub(p.measured) < commonInterval {
+	if !p.bySuccessRate || now.Sub(p.evaluatedAt) < conventionalInterval {
 		return
 	}
-	p.measured = now
-	mean, spread := meanAndSpread(p.ok, p.all)
-	for i := range p.all {
-		if p.all[i] >= commonLeast && p.ok[i]/p.all[i] < mean-commonFactor*spread {
+	p.evaluatedAt = now
+	mean, stddev := meanAndStddev(p.succeeded, p.total)
+	for i := range p.total {
+		if p.total[i] >= conventionalMinRequests && p.succeeded[i]/p.total[i] < mean-conventionalStddevFactor*stddev {
 			p.eject(now, i)
 		}
 	}
-	clear(p.ok)
-	clear(p.all)
+	clear(p.succeeded)
+	clear(p.total)
 }
 
-func (p *common) OutOfService(i int) bool { return p.now.Before(p.until[i]) }
+func (p *conventional) OutOfService(i int) bool { return p.now.Before(p.ejectedUntil[i]) }
 
-// ours is the project's own choosing and ejecting, as the director joins them.
-type ours struct {
-	service  Service
-	random   *rand.Rand
-	detector *eject.Detector
-	list     []eject.Endpoint
-	inFlight []int
-	latency  []float64
-	success  []float64
-	trial    []bool
-	keys     []string
+// lynxplank is the product's own load balancing and ejection, combined as in the director.
+type lynxplank struct {
+	service       Service
+	random        *rand.Rand
+	detector      *eject.Detector
+	endpoints     []eject.Endpoint
+	inFlight      []int
+	latency       []float64
+	success       []float64
+	trialInFlight []bool
+	keys          []string
 }
 
-// NewOurs returns the project's policy with a floor of one half.
+// NewLynxplank returns the product's policy with a floor of one half.
 func NewLynxplank(s Service, r *rand.Rand) Policy {
-	p := &ours{
+	p := &lynxplank{
 		service: s, random: r,
 		detector: eject.NewDetector(eject.DefaultConfig().With(s.FalseEjections, 0.5)),
 		inFlight: make([]int, s.Endpoints), latency: make([]float64, s.Endpoints),
-		success: make([]float64, s.Endpoints), trial: make([]bool, s.Endpoints),
+		success: make([]float64, s.Endpoints), trialInFlight: make([]bool, s.Endpoints),
 	}
 	for i := range s.Endpoints {
 		key := string(rune('A' + i))
 		p.keys = append(p.keys, key)
 		p.success[i] = 1
-		p.list = append(p.list, eject.Endpoint{Key: key, Capacity: float64(s.Slots), Usable: true})
+		p.endpoints = append(p.endpoints, eject.Endpoint{Key: key, Capacity: float64(s.Slots), Usable: true})
 	}
-	p.detector.SetEndpoints(time.Unix(0, 0), p.list)
+	p.detector.SetEndpoints(time.Unix(0, 0), p.endpoints)
 	return p
 }
 
-func (p *ours) Pick(_ time.Time, tried []int, repeatable bool) (int, bool) {
+func (p *lynxplank) Pick(_ time.Time, tried []int, repeatable bool) (int, bool) {
 	candidates := make([]balance.Candidate, 0, len(p.keys))
-	from := make([]int, 0, len(p.keys))
+	indexes := make([]int, 0, len(p.keys))
 	for i, key := range p.keys {
-		if contains(tried, i) || !p.list[i].Usable {
+		if contains(tried, i) || !p.endpoints[i].Usable {
 			continue
 		}
 		v := p.detector.Verdict(key)
@@ -220,8 +226,8 @@
 		case eject.Ejected:
 			continue
 		case eject.Trickle:
-			if repeatable && len(tried) == 0 && !p.trial[i] {
-				p.trial[i] = true
+			if repeatable && len(tried) == 0 && !p.trialInFlight[i] {
+				p.trialInFlight[i] = true
 				p.inFlight[i]++
 				return i, true
 			}
@@ -232,58 +238,58 @@
 			Weight: float64(p.service.Slots) * v.Share, Slots: p.service.Slots, Outstanding: p.inFlight[i],
 			Latency: time.Duration(p.latency[i]), SuccessRate: p.success[i], LastChoice: v.Phase == eject.LastChoice, Suspect: v.Suspect,
 		})
-		from = append(from, i)
+		indexes = append(indexes, i)
 	}
 	c := balance.Choose(candidates, p.random)
 	if c < 0 {
 		return -1, false
 	}
-	p.inFlight[from[c]]++
-	return from[c], false
+	p.inFlight[indexes[c]]++
+	return indexes[c], false
 }
 
-func (p *ours) OverdueAfter() time.Duration {
+func (p *lynxplank) OverdueAfter() time.Duration {
 	if m := p.detector.Baselines(); m.Known {
 		return m.Late
 	}
 	return 0
 }
 
-func (p *ours) ObserveOverdue(now time.Time, i int) {
+func (p *lynxplank) ObserveOverdue(now time.Time, i int) {
 	p.detector.Observe(now, p.keys[i], eject.Observation{Kind: eject.Overdue, Latency: p.OverdueAfter() + time.Microsecond})
 }
 
-func (p *ours) Done(now time.Time, i int, trial, worked, failed, wasLate bool, service time.Duration) {
+func (p *lynxplank) Done(now time.Time, i int, trial, received, failed, wasOverdue bool, serviceTime time.Duration) {
 	p.inFlight[i]--
 	if trial {
-		p.trial[i] = false
+		p.trialInFlight[i] = false
 	}
-	if !worked {
+	if !received {
 		return
 	}
-	const memory = 0.1
-	good := 1.0
-	ev := eject.Observation{Kind: eject.Success, Latency: service, WasOverdue: wasLate}
+	const ewmaWeight = 0.1
+	success := 1.0
+	o := eject.Observation{Kind: eject.Success, Latency: serviceTime, WasOverdue: wasOverdue}
 	if failed {
-		good = 0
-		ev.Kind = eject.Failure
+		success = 0
+		o.Kind = eject.Failure
 	} else if p.latency[i] == 0 {
-		p.latency[i] = float64(service)
+		p.latency[i] = float64(serviceTime)
 	} else {
-		p.latency[i] += (float64(service) - p.latency[i]) * memory
+		p.latency[i] += (float64(serviceTime) - p.latency[i]) * ewmaWeight
 	}
-	p.success[i] += (good - p.success[i]) * memory
-	p.detector.Observe(now, p.keys[i], ev)
+	p.success[i] += (success - p.success[i]) * ewmaWeight
+	p.detector.Observe(now, p.keys[i], o)
 }
 
-func (p *ours) Tick(now time.Time) { p.detector.Tick(now) }
+func (p *lynxplank) Tick(now time.Time) { p.detector.Tick(now) }
 
-func (p *ours) SetUsable(now time.Time, i int, usable bool) {
-	p.list[i].Usable = usable
-	p.detector.SetEndpoints(now, p.list)
+func (p *lynxplank) SetUsable(now time.Time, i int, usable bool) {
+	p.endpoints[i].Usable = usable
+	p.detector.SetEndpoints(now, p.endpoints)
 }
 
-func (p *ours) OutOfService(i int) bool {
+func (p *lynxplank) OutOfService(i int) bool {
 	phase := p.detector.Verdict(p.keys[i]).Phase
-	return phase == eject.Ejected || phase == eject.Trickle || !p.list[i].Usable
+	return phase == eject.Ejected || phase == eject.Trickle || !p.endpoints[i].Usable
 }
--- a/virtual/result.go
+++ b/virtual/result.go
@@ -5,34 +5,38 @@
 	"time"
 )
 
-// Result is what one run showed.
+// Result holds what one run measured.
 type Result struct {
-	// Detected is from the onset until the endpoint got no ordinary work, negative if it never came to that.
+	// DetectionTime is the time from the onset of the fault until the faulty endpoint got no more ordinary requests,
+	// negative if that never happened.
 	DetectionTime time.Duration
-	// Begun counts the requests that the endpoint got from the onset until then.
+	// RequestsUntilDetection counts the requests that the faulty endpoint got in that time.
 	RequestsUntilDetection int
-	// FalseEjections counts healthy endpoints taken out.
+	// FalseEjections counts ejections of healthy endpoints.
 	FalseEjections int
-	// Requests, Bad and Sends count, from the onset on, the requests, those that failed or were late, and the sends.
+	// Requests, Failed and Sends count, from the onset on, the requests, those that failed or were late, and the
+	// attempts.
 	Requests, Failed, Sends int
-	// Good counts answers in time, from the onset on.
+	// InTime counts the requests that were answered in time, from the onset on.
 	InTime int
-	// Admitted are the times of admitted requests from their arrival, in milliseconds.
+	// LatenciesMillis are the times from arrival to answer of the requests that were answered in time, in milliseconds.
 	LatenciesMillis []float64
-	// ShareBad and ShareAll count the requests of customers that keep to their share.
+	// CompliantFailed and CompliantRequests count failed and all requests of the customers that keep to their share,
+	// that is, all but customer 0.
 	CompliantFailed, CompliantRequests int
 }
 
-func (r *run) finish(q *request, good bool) {
+// finish records the result of a request; only requests that arrived after the onset count.
+func (r *run) finish(q *request, succeeded bool) {
 	if !r.measured() || q.arrived.Before(time.Unix(0, 0).Add(Onset)) {
 		return
 	}
-	took := r.clock.now.Sub(q.arrived)
-	good = good && took <= deadline
-	if good {
+	duration := r.clock.now.Sub(q.arrived)
+	succeeded = succeeded && duration <= deadline
+	if succeeded {
 		r.result.InTime++
-		if r.Length <= longestKept {
-			r.result.LatenciesMillis = append(r.result.LatenciesMillis, float64(took)/float64(time.Millisecond))
+		if r.Length <= maxRecordedLength {
+			r.result.LatenciesMillis = append(r.result.LatenciesMillis, float64(duration)/float64(time.Millisecond))
 		}
 		return
 	}
@@ -42,21 +46,22 @@
 	}
 }
 
-func meanAndSpread(ok, all []float64) (mean, spread float64) {
-	var shares []float64
-	for i := range all {
-		if all[i] >= commonLeast {
-			shares = append(shares, ok[i]/all[i])
+// meanAndStddev returns the mean success rate of the endpoints that got enough requests, and its standard deviation.
+func meanAndStddev(succeeded, total []float64) (mean, stddev float64) {
+	var rates []float64
+	for i := range total {
+		if total[i] >= conventionalMinRequests {
+			rates = append(rates, succeeded[i]/total[i])
 		}
 	}
-	if len(shares) == 0 {
+	if len(rates) == 0 {
 		return 0, 0
 	}
-	for _, s := range shares {
-		mean += s / float64(len(shares))
+	for _, rate := range rates {
+		mean += rate / float64(len(rates))
 	}
-	for _, s := range shares {
-		spread += (s - mean) * (s - mean) / float64(len(shares))
+	for _, rate := range rates {
+		stddev += (rate - mean) * (rate - mean) / float64(len(rates))
 	}
-	return mean, math.Sqrt(spread)
+	return mean, math.Sqrt(stddev)
 }
--- a/virtual/script_test.go
+++ b/virtual/script_test.go
@@ -8,9 +8,12 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// TestStreams runs the seeded streams of testdata/streams, twice each: the same seed must show the same. Command:
+// TestStreams runs the seeded streams of testdata/streams, each twice: the same seed must give the same result.
+// Command:
 //
 //	stream service=N policy=ours|common [fail=F] [slow=F] [cut] seed=N
+//
+// The policies ours and common are the product's and the conventional one.
 func TestStreams(t *testing.T) {
 	policies := map[string]NewPolicy{"ours": NewLynxplank, "common": NewConventional}
 	datadriven.RunTest(t, "testdata/streams", func(t *testing.T, d *datadriven.TestData) string {
--- a/virtual/sends.go
+++ b/virtual/sends.go
@@ -10,15 +10,17 @@
 	"github.com/lynxplank/lynxplank/retry"
 )
 
+// endpoint is a simulated endpoint; it queues requests either by the product's admission queue or in a plain queue.
 type endpoint struct {
-	queue    *admission.Queue
-	running  map[uint64]*send
-	waiting  map[uint64]*send
-	plain    []*send
-	busy     int
-	pausedTo time.Time
+	queue      *admission.Queue
+	running    map[uint64]*send
+	waiting    map[uint64]*send
+	plainQueue []*send
+	busy       int
+	pausedTo   time.Time
 }
 
+// request is one request of a customer.
 type request struct {
 	arrived    time.Time
 	customer   int
@@ -27,16 +29,18 @@
 	sends      int
 }
 
+// send is one attempt of a request at an endpoint.
 type send struct {
 	id       uint64
 	request  *request
 	endpoint int
 	trial    bool
-	late     bool
+	overdue  bool
 	started  time.Time
-	over     bool
+	ended    bool
 }
 
+// send picks an endpoint for the next attempt of a request.
 func (r *run) send(q *request) {
 	i, trial := r.policy.Pick(r.clock.now, q.tried, q.repeatable)
 	if i < 0 {
@@ -46,7 +50,7 @@
 	q.sends++
 	if r.measured() {
 		r.result.Sends++
-		if r.hit(i) && i == 0 && r.result.DetectionTime < 0 {
+		if r.affected(i) && i == 0 && r.result.DetectionTime < 0 {
 			r.result.RequestsUntilDetection++
 		}
 	}
@@ -54,63 +58,67 @@
 	r.offer(&send{id: r.nextID, request: q, endpoint: i, trial: trial})
 }
 
+// offer has an endpoint run, queue or refuse an attempt.
 func (r *run) offer(s *send) {
 	e := r.endpoints[s.endpoint]
 	if r.FairQueue {
 		name := strconv.Itoa(s.request.customer)
 		d, evicted := e.queue.Offer(r.clock.now, admission.Request{ID: s.id, Customer: name, Deadline: s.request.arrived.Add(deadline)})
 		e.waiting[s.id] = s
-		r.decide(e, append(evicted, d))
+		r.apply(e, append(evicted, d))
 		return
 	}
 	switch {
 	case e.busy < r.Service.Slots:
-		r.begin(s)
-	case len(e.plain) < plainQueue:
-		e.plain = append(e.plain, s)
+		r.startWork(s)
+	case len(e.plainQueue) < plainQueueLength:
+		e.plainQueue = append(e.plainQueue, s)
 	default:
 		r.refused(s)
 	}
 }
 
-func (r *run) decide(e *endpoint, list []admission.Decision) {
+// apply carries out the decisions of an endpoint's admission queue.
+func (r *run) apply(e *endpoint, list []admission.Decision) {
 	for _, d := range list {
 		s := e.waiting[d.ID]
 		switch d.Action {
 		case admission.Run:
 			delete(e.waiting, d.ID)
-			r.begin(s)
+			r.startWork(s)
 		case admission.Refuse:
 			delete(e.waiting, d.ID)
 			r.refused(s)
 		case admission.Wait:
-			r.clock.after(d.Until.Sub(r.clock.now), func() { r.decide(e, e.queue.Expire(r.clock.now)) })
+			r.clock.after(d.Until.Sub(r.clock.now), func() { r.apply(e, e.queue.Expire(r.clock.now)) })
 		}
 	}
 }
 
-func (r *run) begin(s *send) {
+// startWork occupies a slot of the endpoint and schedules the attempt's end.
+func (r *run) startWork(s *send) {
 	e := r.endpoints[s.endpoint]
 	e.busy++
 	s.started = r.clock.now
-	work := r.work(s.endpoint)
+	serviceTime := r.drawServiceTime(s.endpoint)
 	left := s.request.arrived.Add(deadline).Sub(r.clock.now)
-	failed := r.fails(s.endpoint)
-	if late := r.policy.OverdueAfter(); late > 0 && late < work {
-		r.clock.after(late, func() { r.overdue(s) })
+	failed := r.drawFailure(s.endpoint)
+	if overdue := r.policy.OverdueAfter(); overdue > 0 && overdue < serviceTime {
+		r.clock.after(overdue, func() { r.reportOverdue(s) })
 	}
 	lost := r.Fault.Cut && r.faulty(s.endpoint)
-	// An endpoint honours the deadline and gives its slot back then.
-	r.clock.after(min(work, max(left, 0)), func() { r.free(s, min(work, max(left, 0))) })
-	if lost || work > left {
+	// The endpoint observes the deadline and releases its slot then.
+	r.clock.after(min(serviceTime, max(left, 0)), func() { r.free(s, min(serviceTime, max(left, 0))) })
+	if lost || serviceTime > left {
 		r.clock.after(max(left, 0), func() { r.done(s, true, !lost) })
 		return
 	}
-	r.clock.after(work, func() { r.done(s, failed, true) })
+	r.clock.after(serviceTime, func() { r.done(s, failed, true) })
 }
 
-func (r *run) work(i int) time.Duration {
-	d := math.Exp(r.random.NormFloat64()*workSpread-workSpread*workSpread/2) * float64(meanWork)
+// drawServiceTime draws a service time from a lognormal distribution with a heavy tail, plus the rest of a pause.
+func (r *run) drawServiceTime(i int) time.Duration {
+	d := math.Exp(r.random.NormFloat64()*serviceTimeStddev-serviceTimeStddev*serviceTimeStddev/2) * float64(baseServiceTime)
 	if r.random.Float64() < tailShare {
 		d *= tailFactor
 	}
@@ -121,61 +129,66 @@
 	return time.Duration(d) + paused
 }
 
-func (r *run) fails(i int) bool {
-	share := failHealthy
+// drawFailure draws whether an attempt fails.
+func (r *run) drawFailure(i int) bool {
+	share := healthyFailureShare
 	if r.faulty(i) {
 		share = max(share, r.Fault.Fail)
 	}
 	return r.random.Float64() < share
 }
 
-func (r *run) overdue(s *send) {
-	if !s.over && !s.late {
-		s.late = true
+// reportOverdue reports an attempt that has not ended to the policy, once.
+func (r *run) reportOverdue(s *send) {
+	if !s.ended && !s.overdue {
+		s.overdue = true
 		r.policy.ObserveOverdue(r.clock.now, s.endpoint)
-		r.watch()
+		r.detectEjections()
 	}
 }
 
-// free gives the slot back and starts what waits.
+// free releases a slot and starts the next queued attempt.
 func (r *run) free(s *send, service time.Duration) {
 	e := r.endpoints[s.endpoint]
 	e.busy--
 	if r.FairQueue {
-		r.decide(e, e.queue.Done(r.clock.now, service))
+		r.apply(e, e.queue.Done(r.clock.now, service))
 		return
 	}
-	if len(e.plain) > 0 {
-		next := e.plain[0]
-		e.plain = e.plain[1:]
-		r.begin(next)
+	if len(e.plainQueue) > 0 {
+		next := e.plainQueue[0]
+		e.plainQueue = e.plainQueue[1:]
+		r.startWork(next)
 	}
 }
 
-func (r *run) done(s *send, failed, worked bool) {
-	s.over = true
-	r.policy.Done(r.clock.now, s.endpoint, s.trial, worked, failed, s.late, r.clock.now.Sub(s.started))
-	r.watch()
+// done ends an attempt; received is false if its answer was lost.
+func (r *run) done(s *send, failed, received bool) {
+	s.ended = true
+	r.policy.Done(r.clock.now, s.endpoint, s.trial, received, failed, s.overdue, r.clock.now.Sub(s.started))
+	r.detectEjections()
 	q := s.request
 	if !failed {
 		r.finish(q, true)
 		return
 	}
 	outcome := peerpb.Outcome_OUTCOME_RAN
-	if !worked {
+	if !received {
 		outcome = peerpb.Outcome_OUTCOME_UNKNOWN
 	}
-	r.again(s, retry.Attempt{Outcome: outcome, Failed: true, Repeatable: q.repeatable})
+	r.retryOrFinish(s, retry.Attempt{Outcome: outcome, Failed: true, Repeatable: q.repeatable})
 }
 
+// refused ends an attempt that the endpoint refused.
 func (r *run) refused(s *send) {
-	r.policy.Done(r.clock.now, s.endpoint, s.trial, false, true, s.late, 0)
-	r.again(s, retry.Attempt{Outcome: peerpb.Outcome_OUTCOME_NOT_RUN, Overloaded: true, Repeatable: s.request.repeatable})
+	r.policy.Done(r.clock.now, s.endpoint, s.trial, false, true, s.overdue, 0)
+	r.retryOrFinish(s, retry.Attempt{Outcome: peerpb.Outcome_OUTCOME_NOT_RUN, Overloaded: true, Repeatable: s.request.repeatable})
 }
 
-func (r *run) again(s *send, a retry.Attempt) {
+// retryOrFinish retries a request if the retry policy and the budget allow it, and else records its failure.
+func (r *run) retryOrFinish(s *send, a retry.Attempt) {
 	q := s.request
-	a.Number, a.Replayable, a.Typical = q.sends, true, meanWork
+	a.Number, a.Replayable, a.Typical = q.sends, true, baseServiceTime
 	a.Left = q.arrived.Add(deadline).Sub(r.clock.now)
 	r.refusals.Answer(a.Overloaded)
 	q.tried = append(q.tried, s.endpoint)
