--- a/eject/compare.go
+++ b/eject/compare.go
@@ -34,9 +34,9 @@
 // healthyFailures returns the failure share of the service's other endpoints in use. Comparing with it distinguishes a
 // failing endpoint from a failing service. The worst third of the others is excluded, so that one failing endpoint does
 // not hide another. When most of the others have just failed, the cause is common and the returned share rises at once.
-func (s *Detector) healthyFailures(e *endpoint) float64 {
-	others := make([]*endpoint, 0, len(s.endpoints))
-	for _, o := range s.endpoints {
+func (d *Detector) healthyFailures(e *endpoint) float64 {
+	others := make([]*endpoint, 0, len(d.endpoints))
+	for _, o := range d.endpoints {
 		if o != e && !ejected(o.phase) {
 			others = append(others, o)
 		}
@@ -60,9 +60,9 @@
 
 // commonSlowdown returns the factor by which most of the other endpoints are slower at the moment than the baselines,
 // at least 1.
-func (s *Detector) commonSlowdown(e *endpoint) float64 {
-	others := make([]float64, 0, len(s.endpoints))
-	for _, o := range s.endpoints {
+func (d *Detector) commonSlowdown(e *endpoint) float64 {
+	others := make([]float64, 0, len(d.endpoints))
+	for _, o := range d.endpoints {
 		if o != e && !ejected(o.phase) && o.recentLogLatency > 0 {
 			others = append(others, o.recentLogLatency)
 		}
@@ -72,19 +72,19 @@
 	}
 	slices.Sort(others)
 	recent := others[(len(others)-1)/2]
-	return max(1, math.Exp(recent-math.Log(float64(s.baselines.Median))))
+	return max(1, math.Exp(recent-math.Log(float64(d.baselines.Median))))
 }
 
 // updateBaselines sets each baseline to the median over the endpoints of their own quantiles, which up to half of the
 // endpoints cannot move.
-func (s *Detector) updateBaselines() {
-	s.sinceBaselines++
-	if s.baselines.Known && s.sinceBaselines < baselinesInterval {
+func (d *Detector) updateBaselines() {
+	d.sinceBaselines++
+	if d.baselines.Known && d.sinceBaselines < baselinesInterval {
 		return
 	}
-	s.sinceBaselines = 0
+	d.sinceBaselines = 0
 	var medians, upper, slow, late []time.Duration
-	for _, e := range s.endpoints {
+	for _, e := range d.endpoints {
 		if e.latencies.samples < minBaselineSamples {
 			continue
 		}
@@ -94,7 +94,7 @@
 		late = append(late, e.latencies.quantile(lateQuantile))
 	}
 	// With only two endpoints it cannot be decided which of them is the slow one.
-	if len(medians) < 3 || len(medians)*2 < len(s.endpoints) {
+	if len(medians) < 3 || len(medians)*2 < len(d.endpoints) {
 		return
 	}
 	typical := float64(median(medians))
@@ -104,7 +104,7 @@
 		math.Log(float64(median(late))/typical)/lateNormal,
 		minSpread,
 	)
-	s.baselines = Baselines{
+	d.baselines = Baselines{
 		Slow:   max(median(slow), time.Duration(minSlowFactor*typical)),
 		Late:   max(median(late), time.Duration(minLateFactor*typical)),
 		Median: median(medians), Spread: spread, Known: true,
--- a/eject/cusum.go
+++ b/eject/cusum.go
@@ -15,8 +15,8 @@
 	minRatio    = 2
 	maxBadShare = 0.95
 
-	// The shares of slow and late answers of a healthy and of a bad endpoint, the quantiles that count as slow and late, and
-	// the least factors by which slow and late answers exceed the median.
+	// The shares of slow and late answers of a healthy and of a bad endpoint, the quantiles that count as slow and
+	// late, and the minimum factors by which slow and late answers exceed the median.
 	slowShare     = 0.05
 	slowShareBad  = 0.4
 	lateShare     = 0.004
--- a/eject/floor.go
+++ b/eject/floor.go
@@ -11,17 +11,17 @@
 //
 // Invariant: after every call the capacity of the usable endpoints that are neither ejected nor in the trickle phase is
 // at least the floor's share of the service's capacity, or no endpoint is ejected or in the trickle phase.
-func (s *Detector) enforceFloor(now time.Time) {
-	total, inUse := s.capacities()
-	floor := s.cfg.Floor * total
-	for _, e := range s.byScore(func(e *endpoint) bool { return e.phase == LastChoice && e.Usable }) {
+func (d *Detector) enforceFloor(now time.Time) {
+	total, inUse := d.capacities()
+	floor := d.cfg.Floor * total
+	for _, e := range d.byScore(func(e *endpoint) bool { return e.phase == LastChoice && e.Usable }) {
 		if inUse-e.Capacity < floor {
 			continue
 		}
 		inUse -= e.Capacity
-		s.eject(now, e)
+		d.eject(now, e)
 	}
-	returnable := s.byScore(func(e *endpoint) bool { return ejected(e.phase) && e.Usable })
+	returnable := d.byScore(func(e *endpoint) bool { return ejected(e.phase) && e.Usable })
 	for _, e := range slices.Backward(returnable) {
 		if inUse >= floor {
 			return
@@ -38,8 +38,8 @@
 
 // capacities returns the capacity of all endpoints and of those in use. A draining endpoint counts only for the first,
 // so that drains and ejections together never fall below the floor because of an ejection.
-func (s *Detector) capacities() (total, inUse float64) {
-	for _, e := range s.endpoints {
+func (d *Detector) capacities() (total, inUse float64) {
+	for _, e := range d.endpoints {
 		total += e.Capacity
 		if e.Usable && !ejected(e.phase) {
 			inUse += e.Capacity
@@ -49,9 +49,9 @@
 }
 
 // byScore returns the endpoints that match, highest score first.
-func (s *Detector) byScore(match func(*endpoint) bool) []*endpoint {
+func (d *Detector) byScore(match func(*endpoint) bool) []*endpoint {
 	var list []*endpoint
-	for _, e := range s.endpoints {
+	for _, e := range d.endpoints {
 		if match(e) {
 			list = append(list, e)
 		}
--- a/eject/service.go
+++ b/eject/service.go
@@ -62,53 +62,53 @@
 }
 
 // SetConfig replaces the policy and keeps the test scores.
-func (s *Detector) SetConfig(now time.Time, cfg Config) {
-	s.cfg = cfg
-	s.enforceFloor(now)
+func (d *Detector) SetConfig(now time.Time, cfg Config) {
+	d.cfg = cfg
+	d.enforceFloor(now)
 }
 
 // SetEndpoints replaces the list of endpoints and keeps the test scores of those that remain.
-func (s *Detector) SetEndpoints(now time.Time, list []Endpoint) {
+func (d *Detector) SetEndpoints(now time.Time, list []Endpoint) {
 	byKey := make(map[string]*endpoint, len(list))
-	s.endpoints = s.endpoints[:0]
+	d.endpoints = d.endpoints[:0]
 	for _, described := range list {
-		e := s.byKey[described.Key]
+		e := d.byKey[described.Key]
 		if e == nil {
 			e = &endpoint{share: 1, since: now, rateSince: now}
 		}
 		e.Endpoint = described
 		byKey[described.Key] = e
-		s.endpoints = append(s.endpoints, e)
+		d.endpoints = append(d.endpoints, e)
 	}
-	slices.SortFunc(s.endpoints, func(a, b *endpoint) int { return cmp.Compare(a.Key, b.Key) })
-	s.byKey = byKey
-	s.enforceFloor(now)
+	slices.SortFunc(d.endpoints, func(a, b *endpoint) int { return cmp.Compare(a.Key, b.Key) })
+	d.byKey = byKey
+	d.enforceFloor(now)
 }
 
 // Baselines returns the service's current baselines.
-func (s *Detector) Baselines() Baselines { return s.baselines }
+func (d *Detector) Baselines() Baselines { return d.baselines }
 
 // Observe records the result of a request; unknown endpoints are ignored.
-func (s *Detector) Observe(now time.Time, key string, o Observation) {
-	e := s.byKey[key]
+func (d *Detector) Observe(now time.Time, key string, o Observation) {
+	e := d.byKey[key]
 	if e == nil {
 		return
 	}
 	e.countRate(now)
-	isBad := s.updateTests(now, e, o)
+	isBad := d.updateTests(now, e, o)
 	switch e.phase {
 	case Serving, LastChoice, Ramp:
-		s.applyThreshold(now, e)
+		d.applyThreshold(now, e)
 	case Trickle:
-		s.observeTrickle(now, e, isBad)
+		d.observeTrickle(now, e, isBad)
 	case Ejected:
 		// Late answers to requests that were sent before the ejection say nothing about its end.
 	}
 }
 
 // ObserveCounts records the results of other nodes' requests, as counted by the node beside the endpoint.
-func (s *Detector) ObserveCounts(now time.Time, key string, finished, failed uint64) {
-	e := s.byKey[key]
+func (d *Detector) ObserveCounts(now time.Time, key string, finished, failed uint64) {
+	e := d.byKey[key]
 	if e == nil || e.phase == Ejected || e.phase == Trickle {
 		return
 	}
@@ -116,35 +116,35 @@
 	// The other endpoints' failure share is the same for all observations, because it excludes this endpoint. Computing
 	// it for each of 64 observations costs 64 times as much, which took most of a node's processor time where a node
 	// sees each of hundreds of endpoints once a minute.
-	healthy := s.healthyFailures(e)
+	healthy := d.healthyFailures(e)
 	for i := range min(finished, maxObservations) {
 		e.countRate(now)
 		e.tests.observeFailure(i < failed, healthy)
 		e.observeFailure(i < failed)
 	}
-	s.applyThreshold(now, e)
+	d.applyThreshold(now, e)
 }
 
 // updateTests adds an observation to the tests and reports whether it counts against the endpoint.
-func (s *Detector) updateTests(now time.Time, e *endpoint, o Observation) bool {
+func (d *Detector) updateTests(now time.Time, e *endpoint, o Observation) bool {
 	if o.Kind != Overdue {
 		failed := o.Kind == Failure
-		e.tests.observeFailure(failed, s.healthyFailures(e))
+		e.tests.observeFailure(failed, d.healthyFailures(e))
 		e.observeFailure(failed)
 	}
-	late := s.baselines.Known && o.Latency > s.baselines.Late
+	late := d.baselines.Known && o.Latency > d.baselines.Late
 	if o.Kind == Failure {
 		return true
 	}
-	if s.baselines.Known && !o.WasOverdue {
-		m := s.baselines.scaled(s.commonSlowdown(e))
+	if d.baselines.Known && !o.WasOverdue {
+		m := d.baselines.scaled(d.commonSlowdown(e))
 		e.tests.observeSlowness(now, o.Latency, m)
 		e.tests.observeShift(o.Latency, m)
 	}
 	e.observeLatency(o.Latency)
 	if o.Kind == Success {
 		e.latencies.add(o.Latency)
-		s.updateBaselines()
+		d.updateBaselines()
 	}
 	return late
 }
@@ -162,8 +162,8 @@
 }
 
 // threshold returns the score at which an endpoint is ejected; in the ramp phase half the usual score suffices.
-func (s *Detector) threshold(e *endpoint) float64 {
-	limit := alarmThreshold(e.rate, s.cfg.FalseEjections)
+func (d *Detector) threshold(e *endpoint) float64 {
+	limit := alarmThreshold(e.rate, d.cfg.FalseEjections)
 	if e.phase == Ramp {
 		limit /= 2
 	}
@@ -172,21 +172,21 @@
 
 // applyThreshold ejects an endpoint whose score has reached the threshold, as far as the floor allows, and returns a
 // LastChoice endpoint to serving once its score is below half the threshold.
-func (s *Detector) applyThreshold(now time.Time, e *endpoint) {
+func (d *Detector) applyThreshold(now time.Time, e *endpoint) {
 	score, _ := e.tests.highest()
-	if score < s.threshold(e) {
-		if e.phase == LastChoice && score < s.threshold(e)/2 {
+	if score < d.threshold(e) {
+		if e.phase == LastChoice && score < d.threshold(e)/2 {
 			e.serve(now)
 		}
 		return
 	}
 	if e.phase == LastChoice {
-		e.capScore(2 * s.threshold(e))
+		e.capScore(2 * d.threshold(e))
 		return
 	}
 	e.phase = LastChoice
 	e.since = now
-	s.enforceFloor(now)
+	d.enforceFloor(now)
 }
 
 // capScore bounds the scores, so that recovery takes no longer after a long time over the threshold than after a short
@@ -204,13 +204,13 @@
 }
 
 // observeTrickle ejects an endpoint again after a bad trial, and moves it to the ramp phase after enough good ones.
-func (s *Detector) observeTrickle(now time.Time, e *endpoint, isBad bool) {
+func (d *Detector) observeTrickle(now time.Time, e *endpoint, isBad bool) {
 	if isBad {
-		s.eject(now, e)
+		d.eject(now, e)
 		return
 	}
 	e.trickleSuccesses++
-	if e.trickleSuccesses < s.cfg.TrickleSuccesses {
+	if e.trickleSuccesses < d.cfg.TrickleSuccesses {
 		return
 	}
 	e.phase = Ramp
@@ -219,30 +219,30 @@
 	e.tests.reset()
 }
 
-func (s *Detector) eject(now time.Time, e *endpoint) {
+func (d *Detector) eject(now time.Time, e *endpoint) {
 	e.phase = Ejected
 	e.share = 0
 	e.since = now
-	e.until = now.Add(s.ejectionDuration(e.ejections))
+	e.until = now.Add(d.ejectionDuration(e.ejections))
 	e.ejections++
 	e.trickleSuccesses = 0
 }
 
 // ejectionDuration returns the duration of an ejection after a number of earlier ones.
-func (s *Detector) ejectionDuration(earlier int) time.Duration {
-	d := s.cfg.BaseEjectionTime
+func (d *Detector) ejectionDuration(earlier int) time.Duration {
+	duration := d.cfg.BaseEjectionTime
 	for range earlier {
-		d *= 2
-		if d >= s.cfg.MaxEjectionTime {
-			return s.cfg.MaxEjectionTime
+		duration *= 2
+		if duration >= d.cfg.MaxEjectionTime {
+			return d.cfg.MaxEjectionTime
 		}
 	}
-	return d
+	return duration
 }
 
 // Tick advances the phases that depend on time; call it several times a second.
-func (s *Detector) Tick(now time.Time) {
-	for _, e := range s.endpoints {
+func (d *Detector) Tick(now time.Time) {
+	for _, e := range d.endpoints {
 		switch e.phase {
 		case Ejected:
 			if !now.Before(e.until) {
@@ -252,16 +252,16 @@
 				e.tests.reset()
 			}
 		case Ramp:
-			e.ramp(now, s.cfg.RampStep)
+			e.ramp(now, d.cfg.RampStep)
 		case Serving:
-			if e.ejections > 0 && now.Sub(e.since) >= s.cfg.ForgiveInterval {
+			if e.ejections > 0 && now.Sub(e.since) >= d.cfg.ForgiveInterval {
 				e.ejections /= 2
 				e.since = now
 			}
 		case LastChoice, Trickle:
 		}
 	}
-	s.enforceFloor(now)
+	d.enforceFloor(now)
 }
 
 // ramp doubles the endpoint's share after each step, until it serves.
@@ -280,14 +280,14 @@
 const suspectScore = 1
 
 // Verdict returns the detector's decision about an endpoint; an unknown endpoint serves.
-func (s *Detector) Verdict(key string) Verdict {
-	e := s.byKey[key]
+func (d *Detector) Verdict(key string) Verdict {
+	e := d.byKey[key]
 	if e == nil {
 		return Verdict{Share: 1}
 	}
 	score, test := e.tests.highest()
 	return Verdict{
-		Phase: e.phase, Share: e.share, Score: score, Threshold: s.threshold(e),
+		Phase: e.phase, Share: e.share, Score: score, Threshold: d.threshold(e),
 		Suspect: e.phase == Serving && score >= suspectScore,
 		Test:    test, Ejections: e.ejections, Until: e.until,
 	}
