--- a/director/colocated.go
+++ b/director/colocated.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// colocatedMaxLoad is the share of its slots up to which the endpoint on this host is preferred. Above it the
-	// endpoint counts as full, though only for this node's own callers, because the slots of other endpoints are as
-	// good.
+	// colocatedMaxLoad is the share of its slots up to which the endpoint on this host is preferred. Only this node's
+	// own callers treat it as full from there on: other nodes still use the remaining slots, and this node balances
+	// over all endpoints, whose slots are as good.
 	colocatedMaxLoad = 0.5
 	// colocatedMinSuccess is the lowest recent success rate at which the endpoint on this host is preferred: one
 	// failure costs the preference until about seven answers have been good.
--- a/director/members_test.go
+++ b/director/members_test.go
@@ -132,8 +132,8 @@
 }
 
 // TestFloorHoldsOverSubsets checks the floor when each host ejects only among its own members. Every host of a hall
-// gets random work of its members and a detector of its own. The capacity that all hosts sending to it have ejected may
-// exceed what the floor allows of the whole only by the unevenness of the numbers of hosts per endpoint.
+// gets random results of its members and a detector of its own. The number of endpoints that are ejected by all hosts
+// sending to them may exceed what the floor allows only as far as the numbers of hosts per endpoint are uneven.
 func TestFloorHoldsOverSubsets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(20, 60).Draw(t, "hosts")
@@ -174,7 +174,7 @@
 	})
 }
 
-// detectorOf returns a host's detector after random work of its members.
+// detectorOf returns a host's detector after random results of its members.
 func detectorOf(f fleet, members []int, failing []bool, floor float64, random *rand.Rand) *eject.Detector {
 	s := eject.NewDetector(eject.DefaultConfig().With(1, floor))
 	now := time.Unix(0, 0)
--- a/director/pick.go
+++ b/director/pick.go
@@ -19,10 +19,10 @@
 type PickOptions struct {
 	// Service is the service's key.
 	Service string
-	// Repeatable allows an endpoint in the trickle phase, as a trial.
+	// Repeatable is set for a repeatable request, which may serve as the trial of an endpoint in the trickle phase.
 	Repeatable bool
-	// Exclude holds the keys of the endpoints that must not be picked, such as those that have already been tried. If
-	// it holds any, the pick is no trial.
+	// Exclude holds the keys of the endpoints that must not be picked, such as those that have already been tried. A
+	// request that excludes any endpoint never serves as a trial.
 	Exclude []string
 	// Pinned restricts the choice to the endpoint with this key, which need not be a member.
 	Pinned string
--- a/latency/model.go
+++ b/latency/model.go
@@ -29,7 +29,7 @@
 // zero value has no observations. Its owner locks it.
 type Model struct {
 	// samples is the number of observations, at most maxSamples; mean is the mean of the logarithm of the time in
-	// seconds, and variance that of its squared deviation.
+	// seconds, and variance the mean of its squared deviation.
 	samples  float64
 	mean     float64
 	variance float64
--- a/subset/subset.go
+++ b/subset/subset.go
@@ -40,12 +40,12 @@
 	return r
 }
 
-// Choose returns the indexes of the endpoints that the node self chooses, in order of preference; if there are no more
+// Choose returns the indexes of the endpoints that a node (self) chooses, in order of preference; if there are no more
 // than size, all of them. Both lists may be in any order that all nodes share, such as by name.
 //
-// Invariant: it returns as many endpoints as asked for, all different. Over the choices that all nodes compute from
-// the same lists, no endpoint is chosen by more nodes than the mean rounded up, nor by fewer than the mean rounded
-// down, apart from a few where the last nodes find no other endpoint that they have not chosen yet.
+// Invariant: it returns as many endpoints as asked for, all different. Over the choices that all nodes compute from the
+// same lists, no endpoint is chosen by more nodes than the mean rounded up, nor by fewer than the mean rounded down,
+// apart from a few where the last nodes find no other endpoint that they have not chosen yet.
 func Choose(nodes []string, self string, endpoints []string, size int) []int {
 	if size >= len(endpoints) || !slices.Contains(nodes, self) {
 		return Order(self, endpoints)[:min(size, len(endpoints))]
