--- a/virtual/load.go
+++ b/virtual/load.go
@@ -46,7 +46,7 @@
 			r.result.CompliantRequests++
 		}
 	}
-	r.budget.Request(r.clock.now, retryShare)
+	r.budget.CountRequest(r.clock.now, retryShare)
 	r.send(q)
 }
 
--- a/virtual/sends.go
+++ b/virtual/sends.go
@@ -188,9 +188,9 @@
 // retryOrFinish retries a request if the retry policy and the budget allow it, and else records its failure.
 func (r *run) retryOrFinish(s *send, a retry.Attempt) {
 	q := s.request
-	a.Number, a.Replayable, a.Typical = q.sends, true, baseServiceTime
-	a.Left = q.arrived.Add(deadline).Sub(r.clock.now)
-	r.refusals.Answer(a.Overloaded)
+	a.Attempts, a.Replayable, a.TypicalServiceTime = q.sends, true, baseServiceTime
+	a.TimeLeft = q.arrived.Add(deadline).Sub(r.clock.now)
+	r.refusals.Record(a.Overloaded)
 	q.tried = append(q.tried, s.endpoint)
 	if r.refusals.Decide(a) && r.budget.Take(r.clock.now) {
 		r.send(q)
