--- a/egress/door.go
+++ b/egress/door.go
@@ -57,7 +57,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if d.GetRepeat() {
-		l.retries.Return()
+		l.retries.Refund()
 	}
 }
 
@@ -70,7 +70,7 @@
 		l.arrivals.Further++
 		return
 	}
-	l.retries.Request(now, l.share)
+	l.retries.CountRequest(now, l.share)
 	// A call that may be of further work is never refused for it.
 	l.retries.Charge(now, d.GetOfRepeat())
 	l.arrivals.First++
@@ -95,6 +95,6 @@
 	}
 	events.FurtherSends.Log(log).Str("endpoint", l.key).Str("service", l.service).
 		Uint64("first", a.First).Uint64("further", a.Further).Float64("of_further", a.OfFurther).Uint64("spent", a.Spent).
-		Float64("left", l.retries.Left(now)).Float64("part", l.part).Dur("for", now.Sub(l.arrivals.toldAt)).Send()
+		Float64("left", l.retries.Remaining(now)).Float64("part", l.part).Dur("for", now.Sub(l.arrivals.toldAt)).Send()
 	l.arrivals.told, l.arrivals.toldAt = l.arrivals.Arrivals, now
 }
--- a/egress/egress.go
+++ b/egress/egress.go
@@ -49,7 +49,7 @@
 	// Breaker is the policy for endpoints that break off their work.
 	Breaker breaker.Config
 	// Retries is the slack of retries that the fleet's endpoints share.
-	Retries retry.Share
+	Retries retry.FleetSlack
 	// Cold is by how much a second of a cold endpoint may go beyond what its service says that it bears; its Rate is not used.
 	Cold coldstart.Bound
 }
@@ -143,7 +143,7 @@
 	}
 	e := &Egress{
 		cfg: cfg, log: log, state: state,
-		keys:   newKeys(dedupe.NewHome(cfg.KeyWindow, cfg.KeyBytes), cfg.KeyWindow, cfg.KeySettle),
+		keys:   newKeys(dedupe.NewStore(cfg.KeyWindow, cfg.KeyBytes), cfg.KeyWindow, cfg.KeySettle),
 		locals: make(map[string]*local), records: newRecords(), pool: upstream.NewPool(), endings: noEndings{}, clock: clock.Boot,
 		budget: memory.New(defaultBudget),
 	}
@@ -233,10 +233,10 @@
 }
 
 // Work tells of the work that the endpoints beside this node have through it, and of that for a request, "" for none.
-func (e *Egress) Work(request string) inflight.Work { return e.working.Of(request) }
+func (e *Egress) Work(request string) inflight.Snapshot { return e.working.Snapshot(request) }
 
 // Settle notes how a claimed request ended elsewhere.
 func (e *Egress) Settle(msg *peerpb.Settle) {
-	a := dedupe.Answer{Head: msg.GetHead(), Body: msg.GetBody(), Kept: msg.GetHead() != nil}
+	a := dedupe.Answer{Head: msg.GetHead(), Body: msg.GetBody(), Stored: msg.GetHead() != nil}
 	e.keys.settle(time.Now(), msg.GetScope(), msg.GetKey(), msg.GetOutcome(), a)
 }
--- a/egress/regions_test.go
+++ b/egress/regions_test.go
@@ -66,7 +66,7 @@
 func TestHomesMoveWithTheirRegions(t *testing.T) {
 	const window = time.Minute
 	now := time.Unix(1e6, 0)
-	k := newKeys(dedupe.NewHome(window, 1<<20), window, 0)
+	k := newKeys(dedupe.NewStore(window, 1<<20), window, 0)
 	home := at(t, "127.0.0.1:1", table.Active).state()
 	observe := func(s *table.State) { k.observe(now, &configsync.Snapshot{State: s, Ready: true}, "h1") }
 	resend := func(name string, claimed, held []string) dedupe.Verdict {
--- a/ingress/exchange.go
+++ b/ingress/exchange.go
@@ -44,7 +44,7 @@
 	winner   *winner
 	refusals *refusals
 	// holds are what the answers of the sends hold of the node's budget.
-	holds []*memory.Hold
+	holds []*memory.Reservation
 	// tried are the endpoints that have had the request or have turned it away for a reason that lasts.
 	tried []string
 	// declined are those of this round that had no free slot, or took only trials, when they were asked.
@@ -251,21 +251,21 @@
 
 // holdFor has what an answer holds counted in the node's budget.
 func (x *exchange) holdFor(a *answer) {
-	a.hold = x.g.budget.Hold(x.call.customer)
+	a.hold = x.g.budget.NewReservation(x.call.customer)
 	x.holds = append(x.holds, a.hold)
 }
 
 // leave has sends that outlive the request give back themselves what their answers hold.
 func (x *exchange) leave(running []*attempt) {
 	for _, a := range running {
-		x.holds = slices.DeleteFunc(x.holds, func(h *memory.Hold) bool { return h == a.answer.hold })
+		x.holds = slices.DeleteFunc(x.holds, func(h *memory.Reservation) bool { return h == a.answer.hold })
 	}
 }
 
 // free gives back what the answers of the sends that have ended hold.
 func (x *exchange) free() {
 	for _, h := range x.holds {
-		h.Free()
+		h.Release()
 	}
 }
 
@@ -419,9 +419,9 @@
 func (x *exchange) judgement(ctx context.Context, pick director.Pick, end *peerpb.End) retry.Attempt {
 	deadline, _ := ctx.Deadline()
 	return retry.Attempt{
-		Number: x.sends, Most: int(x.call.route.Value.Attempts), Outcome: end.GetOutcome(), Repeatable: x.call.repeatable,
+		Attempts: x.sends, MaxAttempts: int(x.call.route.Value.Attempts), Outcome: end.GetOutcome(), Repeatable: x.call.repeatable,
 		Overloaded: crowded(end) || fault.Code(end.GetCode()) == fault.EndpointShed,
-		Failed:     x.answer.failed(end), Started: x.answer.started, Replayable: true,
-		Left: time.Until(deadline), Typical: pick.Typical,
+		Failed:     x.answer.failed(end), AnswerStarted: x.answer.started, Replayable: true,
+		TimeLeft: time.Until(deadline), TypicalServiceTime: pick.Typical,
 	}
 }
--- a/ingress/hedge.go
+++ b/ingress/hedge.go
@@ -192,7 +192,7 @@
 			for range rest {
 				a := <-h.ended
 				x.report(a)
-				a.answer.hold.Free()
+				a.answer.hold.Release()
 			}
 		}()
 	}
@@ -205,7 +205,7 @@
 	if n := int(x.call.route.Value.Attempts); n > 0 {
 		return n
 	}
-	return retry.MostAttempts
+	return retry.MaxAttempts
 }
 
 // settleAttempt notes how a send ended.
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -46,7 +46,7 @@
 	// Settle notes how a claimed request ended elsewhere.
 	Settle(s *peerpb.Settle)
 	// Work tells of the work that the endpoints beside this node have, and of that for a request.
-	Work(request string) inflight.Work
+	Work(request string) inflight.Snapshot
 }
 
 // Ingress is the handler of the callers' listener.
@@ -241,7 +241,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), c.timeout)
 	defer cancel()
-	x := &exchange{g: g, start: time.Now(), watch: g.clock.Begin(), call: c, body: body, winner: new(winner), pass: pass, paid: true}
+	x := &exchange{g: g, start: time.Now(), watch: g.clock.StartStopwatch(), call: c, body: body, winner: new(winner), pass: pass, paid: true}
 	x.answer = newAnswer(w, c, g.cfg.Contract, x.winner)
 	x.answer.progress = &x.progress
 	x.holdFor(x.answer)
--- a/ingress/keyed.go
+++ b/ingress/keyed.go
@@ -64,7 +64,7 @@
 func (x *exchange) homes(id dedupe.ID) []table.Entry[table.Endpoint] {
 	snap := x.g.snapshot()
 	view, _ := snap.State.Service(x.call.service.Key)
-	names := keyowner.Homes(keyowner.Names(view, func(e table.Endpoint) bool {
+	names := keyowner.Owners(keyowner.Candidates(view, func(e table.Endpoint) bool {
 		return snap.Listed(e.Host) && x.call.regions.Allows(snap.RegionOf(e.Hall))
 	}), id)
 	out := make([]table.Entry[table.Endpoint], 0, len(names))
--- a/ingress/stop_test.go
+++ b/ingress/stop_test.go
@@ -89,7 +89,7 @@
 func (*doors) Settle(*peerpb.Settle) {}
 
 // Work implements Local.
-func (*doors) Work(string) inflight.Work { return inflight.Work{} }
+func (*doors) Work(string) inflight.Snapshot { return inflight.Snapshot{} }
 
 // TestStops runs the scenarios of testdata/stop: requests of a node from which nothing is handed over any more. It prints what the caller is
 // told, with when to come back, and each send with what became of it.
--- a/node/config.go
+++ b/node/config.go
@@ -141,11 +141,11 @@
 		Host: n.cfg.Node.ID, Hall: n.cfg.Node.Hall, Incarnation: incarnation, ProbePath: c.ProbePath, ProbeEvery: c.ProbeEvery.Std(),
 		KeyWindow: c.KeyWindow.Std(), KeySettle: c.KeySettle.Std(), KeyBytes: int(c.KeyBytes),
 		Contract: n.contract(), Breaker: breaker.DefaultConfig(),
-		Retries: retry.Share{
+		Retries: retry.FleetSlack{
 			Slack: n.cfg.Retries.Slack * n.cfg.Retries.Use, Window: n.cfg.Retries.Window.Std(),
-			Most: n.cfg.Retries.MostBurst,
+			MaxShare: n.cfg.Retries.MostBurst,
 		},
-		Cold: coldstart.Bound{Over: n.cfg.Cold.Over, Slack: n.cfg.Cold.Slack},
+		Cold: coldstart.Bound{RateFactor: n.cfg.Cold.Over, Slack: n.cfg.Cold.Slack},
 	}
 }
 
--- a/node/stop.go
+++ b/node/stop.go
@@ -113,7 +113,7 @@
 
 // withdrawWithEndpoint takes the host's line out of the table if the endpoint beside it has left for good, and the host with it.
 func (n *Node) withdrawWithEndpoint() error {
-	if n.announced == nil || n.announced.Known() == 0 || n.announced.Serving() {
+	if n.announced == nil || n.announced.Count() == 0 || n.announced.HasActive() {
 		return nil
 	}
 	a, err := kernel.Lookup[*announce.Announcer](n.kernel, Announcer)
--- a/quarantine/write.go
+++ b/quarantine/write.go
@@ -30,7 +30,7 @@
 	defer close(k.done)
 	tick := time.NewTicker(lookEvery)
 	defer tick.Stop()
-	failing := retry.Backoff{First: k.cfg.Retry, Most: k.cfg.RetryMost}
+	failing := retry.Backoff{Initial: k.cfg.Retry, Max: k.cfg.RetryMost}
 	var again <-chan time.Time
 	for {
 		select {
--- a/virtual/load.go
+++ b/virtual/load.go
@@ -43,7 +43,7 @@
 			r.result.ShareAll++
 		}
 	}
-	r.budget.Request(r.clock.now, retryShare)
+	r.budget.CountRequest(r.clock.now, retryShare)
 	r.send(q)
 }
 
--- a/virtual/sends.go
+++ b/virtual/sends.go
@@ -175,9 +175,9 @@
 
 func (r *run) again(s *send, a retry.Attempt) {
 	q := s.request
-	a.Number, a.Replayable, a.Typical = q.sends, true, meanWork
-	a.Left = q.arrived.Add(deadline).Sub(r.clock.now)
-	r.refusals.Answer(a.Overloaded)
+	a.Attempts, a.Replayable, a.TypicalServiceTime = q.sends, true, meanWork
+	a.TimeLeft = q.arrived.Add(deadline).Sub(r.clock.now)
+	r.refusals.Record(a.Overloaded)
 	q.tried = append(q.tried, s.endpoint)
 	if r.refusals.Decide(a) && r.budget.Take(r.clock.now) {
 		r.send(q)
