--- a/admission/doc.go
+++ b/admission/doc.go
@@ -1,3 +1,3 @@
-// Package admission decides beside an endpoint which requests run now, which wait and which are refused at once.
-// It is pure: the time comes in, decisions go out.
+// Package admission decides, on the node beside an endpoint, which requests run now, which wait in a queue and which
+// are refused at once. It is pure: callers pass in the time and carry out the returned decisions.
 package admission
--- a/admission/script_test.go
+++ b/admission/script_test.go
@@ -13,11 +13,11 @@
 
 // TestScripts runs the scenarios of testdata. Commands:
 //
-//	queue slots=N most=N service=5ms     a new queue that has seen that service time
+//	queue slots=N most=N service=5ms     creates a queue with that mean service time
 //	offer id=N by=NAME [weight=W] [work=5ms] within=50ms
 //	done [took=5ms]
 //	cancel id=N
-//	wait for=10ms
+//	wait for=10ms                        lets time pass
 //	expire
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
@@ -28,7 +28,7 @@
 			switch d.Cmd {
 			case "queue":
 				q = NewQueue(number(t, d, "slots"), number(t, d, "most"), rand.New(rand.NewPCG(1, 1)))
-				q.service = span(t, d, "service").Seconds()
+				q.meanServiceTime = span(t, d, "service").Seconds()
 			case "offer":
 				r := Request{ID: uint64(number(t, d, "id")), Weight: 1, Deadline: now.Add(span(t, d, "within"))}
 				d.ScanArgs(t, "by", &r.Customer)
@@ -88,7 +88,7 @@
 }
 
 // TestQueueProperties checks on random sequences that slots are never exceeded, that every request gets exactly one
-// final decision, and that none waits while a slot is free.
+// final decision, and that no request waits while a slot is free.
 func TestQueueProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 5).Draw(t, "slots")
