--- a/breaker/breaker.go
+++ b/breaker/breaker.go
@@ -7,53 +7,56 @@
 
 // Config is the policy of one breaker.
 type Config struct {
-	// Broken is the evidence that one answer which broke off gives, Failed that of one whole answer that says the work
-	// failed. A breaker opens at openAt.
+	// Broken is an answer that broke off or could not be read.
 	BrokenWeight, FailedWeight float64
-	// Forget is the time in which evidence halves.
+	// ScoreHalfLife is the time in which the failure score halves.
 	ScoreHalfLife time.Duration
-	// Spell is how long an endpoint is thought to fail at a time before any spell was seen; what is learned of each
-	// endpoint stays between ShortestSpell and LongestSpell.
+	// InitialOutage is how long an outage of the endpoint is expected to last before any was seen. The expected length
+	// is then learned for each endpoint, between MinOutage and MaxOutage.
 	InitialOutage, MinOutage, MaxOutage time.Duration
-	// TrialEvery is the least time between two trials; it doubles with each one that fails, up to LongestTrial.
+	// Trial (half-open) takes one trial request at a time: a repeatable one, or a non-repeatable one once an outage of
+	// the expected length is probably over.
 	TrialInterval, MaxTrialInterval time.Duration
-	// Successes is how many trials in a row close the breaker after it has opened once, and one more for each time that
-	// it opened again within Memory, up to MostSuccesses.
+	// RequiredSuccesses is how many successful trials in a row close a breaker that has opened once. One more is
+	// required for each further opening within OpeningWindow, up to MaxRequiredSuccesses.
 	RequiredSuccesses, MaxRequiredSuccesses int
-	// Memory is how long an opening counts.
+	// OpeningWindow is how long an opening counts for the required successes.
 	OpeningWindow time.Duration
 }
 
 const (
-	// openAt is the evidence at which a breaker opens.
-	openAt = 1
-	// trialMemory is how much of its weight the past loses to each new trial: about the last three count.
-	trialMemory = 0.3
-	// unknownShare is the share of trials taken as good while none has ended.
-	unknownShare = 0.5
-	// likelyShare is the share from which on an endpoint is worth a request that must not repeat: below it, most callers
-	// would learn no more than that their request may have run.
-	likelyShare = 0.45
-	// firstDoubt is the chance that an endpoint still fails, at the moment in which the breaker opens or a trial fails;
-	// trialDoubt is the one at which what must not repeat may be a trial, closeDoubt that at which a good trial ends them.
-	firstDoubt = 0.95
-	trialDoubt = 0.2
-	closeDoubt = 0.1
-	// goodTrial is by how much one good trial lowers the odds: three answers in ten come from an endpoint that fails.
-	goodTrial = 0.3
-	// spellMemory is the weight of the latest spell in what is thought of the next.
-	spellMemory = 0.3
-	// again is how soon after it closed a breaker that opens again has closed too early: work of half a second that is
-	// silent from then on shows within so long.
-	again = 3 * time.Second
-	// leastEvidence is what is too little to be halved again.
-	leastEvidence = 0.01
-	// mostOpenings bounds the openings that are remembered: more than any policy asks for.
-	mostOpenings = 8
+	// openScore is the failure score at which a breaker opens.
+	openScore = 1
+	// trialSmoothing is the weight of the newest trial in the moving average of successes: about the last three trials
+	// count.
+	trialSmoothing = 0.3
+	// initialSuccessShare is the assumed share of successful trials until one has finished.
+	initialSuccessShare = 0.5
+	// likelySuccessShare is the share of successful trials from which an endpoint is worth sending a non-repeatable
+	// request: below it, most callers would only learn that their request may have run.
+	likelySuccessShare = 0.45
+	// initialDownProbability is the probability that an endpoint is still failing at the moment when the breaker opens
+	// or a trial fails. At maxTrialDownProbability a non-repeatable request may be a trial; at maxCloseDownProbability
+	// a successful trial closes the breaker.
+	initialDownProbability  = 0.95
+	maxTrialDownProbability = 0.2
+	maxCloseDownProbability = 0.1
+	// goodTrialOddsFactor multiplies the odds that the endpoint is still failing after a successful trial: a failing
+	// endpoint still answers three requests in ten.
+	goodTrialOddsFactor = 0.3
+	// outageSmoothing is the weight of the latest outage in the expected length of the next.
+	outageSmoothing = 0.3
+	// reopenWindow is how soon after closing a breaker must open again for the closing to count as premature: an
+	// endpoint that stays silent at requests that usually take half a second is detected within that time.
+	reopenWindow = 3 * time.Second
+	// minScore is the failure score below which it is no longer halved.
+	minScore = 0.01
+	// maxOpenings bounds the openings that are remembered; no policy needs more.
+	maxOpenings = 8
 )
 
-// DefaultConfig returns the policy for endpoints that break off most of their work for some seconds at a time, and let
-// about one request in seven through meanwhile. docs/DECISIONS.md has the measurements behind the figures.
+// DefaultConfig returns the policy for endpoints that break off most of their answers for some seconds at a time and
+// answer about one request in seven meanwhile. docs/DECISIONS.md has the measurements behind the numbers.
 func DefaultConfig() Config {
 	return Config{
 		BrokenWeight: 1, FailedWeight: 0.4, ScoreHalfLife: time.Second,
@@ -63,7 +66,7 @@
 	}
 }
 
-// State says what an endpoint takes.
+// State says which requests an endpoint takes.
 type State uint8
 
 // The states.
@@ -82,71 +85,74 @@
 	return "closed"
 }
 
-// Result is how one request went at the endpoint.
+// Result is how one request ended at the endpoint.
 type Result uint8
 
 // The results.
 const (
-	// OK is a whole answer that says nothing of a failure.
+	// OK is a complete answer that reports no failure.
 	OK Result = iota
-	// Failed is a whole answer that says the work failed.
+	// Failed is a complete answer that reports that the endpoint couldn't do the work.
 	Failed
 	// Broken is an answer that broke off or could not be read.
 	Broken
-	// Overdue is a trial whose answer is due and missing.
+	// Overdue is a trial that has not been answered in the usual time.
 	Overdue
 )
 
-// Breaker watches one endpoint; its owner locks it.
+// Breaker is the circuit breaker of one endpoint. It is not safe for concurrent use; its owner must hold a lock.
 type Breaker struct {
 	cfg   Config
 	state State
-	// evidence is what speaks against the endpoint, as it was at seenAt.
-	evidence float64
-	seenAt   time.Time
-	// doubt is the chance that the endpoint still failed at doubtAt; it falls as spells of its usual length end.
-	doubt   float64
-	doubtAt time.Time
-	// spell is the usual length of a spell after the breaker has opened, openedAt when it did, goodAt when the latest row of
-	// good trials began, and closedAt when it closed.
-	spell    time.Duration
-	openedAt time.Time
-	goodAt   time.Time
-	closedAt time.Time
-	// openings are the times of the last openings, successes the trials in a row that went well.
+	// score is the failure score as of scoredAt.
+	score    float64
+	scoredAt time.Time
+	// downProbability is the probability that the endpoint was still failing at downProbabilityAt; it decays with the
+	// expected length of an outage.
+	downProbability   float64
+	downProbabilityAt time.Time
+	// outage is the expected length of an outage, openedAt when the breaker opened, successesSince when the current run
+	// of successful trials began, closedAt when the breaker last closed.
+	outage         time.Duration
+	openedAt       time.Time
+	successesSince time.Time
+	closedAt       time.Time
+	// openings are the times of the last openings, successes the number of successful trials in a row.
 	openings  []time.Time
 	successes int
-	// trialEvery is the present time between two trials, trialAt when the last one began.
-	trialEvery time.Duration
-	trialAt    time.Time
-	// trialing is set while a trial runs.
-	trialing bool
-	// goodShare is the recent share of good trials since it opened.
-	goodShare float64
+	// trialInterval is the current minimum time between two trials, trialAt when the last one began.
+	trialInterval time.Duration
+	trialAt       time.Time
+	// trialRunning is set while a trial is in flight.
+	trialRunning bool
+	// successShare is the moving average of successful trials since the breaker opened.
+	successShare float64
 }
 
 // New returns a closed breaker.
 func New(cfg Config) *Breaker {
-	return &Breaker{cfg: cfg, spell: cfg.InitialOutage, trialEvery: cfg.TrialInterval}
+	return &Breaker{cfg: cfg, outage: cfg.InitialOutage, trialInterval: cfg.TrialInterval}
 }
 
-// State returns what the endpoint takes.
+// State returns which requests the endpoint takes.
 func (b *Breaker) State() State { return b.state }
 
-// Pause returns how long the endpoint takes no ordinary work unless trials go well sooner; 0 when it takes everything.
+// RemainingOutage returns the time until the endpoint has probably recovered and takes non-repeatable requests as
+// trials, 0 if the breaker is closed. Successful trials may close the breaker sooner.
 func (b *Breaker) RemainingOutage(now time.Time) time.Duration {
 	if b.state == Closed {
 		return 0
 	}
-	return max(0, time.Duration(math.Log(b.doubtNow(now)/trialDoubt)*float64(b.spell)))
+	return max(0, time.Duration(math.Log(b.currentDownProbability(now)/maxTrialDownProbability)*float64(b.outage)))
 }
 
-// doubtNow is the chance that the endpoint still fails.
-func (b *Breaker) doubtNow(now time.Time) float64 {
-	return b.doubt * math.Exp(-now.Sub(b.doubtAt).Seconds()/b.spell.Seconds())
+// currentDownProbability returns the probability that the endpoint is still failing.
+func (b *Breaker) currentDownProbability(now time.Time) float64 {
+	return b.downProbability * math.Exp(-now.Sub(b.downProbabilityAt).Seconds()/b.outage.Seconds())
 }
 
-// Clear closes a breaker that was opened by Suspect and for a reason that has proved wrong.
+// ForceClose closes the breaker if it is open. It is for a breaker that ForceOpen opened for a reason that has proved
+// wrong.
 func (b *Breaker) ForceClose(now time.Time) {
 	if b.state == Trial {
 		b.close(now)
@@ -155,51 +161,53 @@
 
 func (b *Breaker) close(now time.Time) {
 	b.state = Closed
-	b.evidence = 0
-	b.trialEvery = b.cfg.TrialInterval
+	b.score = 0
+	b.trialInterval = b.cfg.TrialInterval
 	b.closedAt = now
 }
 
-// learnSpell takes the length of a spell, from its opening on.
-func (b *Breaker) learnSpell(d time.Duration) {
-	b.spell += time.Duration(spellMemory * float64(d-b.spell))
-	b.spell = min(max(b.spell, b.cfg.MinOutage), b.cfg.MaxOutage)
+// observeOutage updates the expected length of an outage with the length of one, measured from its opening.
+func (b *Breaker) observeOutage(d time.Duration) {
+	b.outage += time.Duration(outageSmoothing * float64(d-b.outage))
+	b.outage = min(max(b.outage, b.cfg.MinOutage), b.cfg.MaxOutage)
 }
 
-// Likely tells whether the endpoint does more of its work than not, as far as its trials show; while none has ended it
-// is given the benefit of the doubt.
-func (b *Breaker) LikelyToSucceed() bool { return b.state == Closed || b.goodShare >= likelyShare }
+// LikelyToSucceed reports whether the endpoint is worth sending a non-repeatable request, judging by its trials
+// (likelySuccessShare). It is true until the first trial has finished.
+func (b *Breaker) LikelyToSucceed() bool {
+	return b.state == Closed || b.successShare >= likelySuccessShare
+}
 
-// LastResort takes the result of a request that ran as a last resort: it says whether the endpoint is worth the next
-// one, but only trials, which can be sent again, close the breaker.
+// ReportLastResort records the result of a request that was sent as a last resort, while the breaker was open. It
+// counts for LikelyToSucceed only: the breaker closes on trials alone, which can be retried.
 func (b *Breaker) ReportLastResort(r Result) {
 	if b.state == Trial {
-		b.learn(r == OK)
+		b.observeTrial(r == OK)
 	}
 }
 
-// learn moves the share of good trials by one.
-func (b *Breaker) learn(good bool) {
-	hit := 0.0
-	if good {
-		hit = 1
+// observeTrial updates the share of successful trials with one result.
+func (b *Breaker) observeTrial(success bool) {
+	sample := 0.0
+	if success {
+		sample = 1
 	}
-	b.goodShare += (hit - b.goodShare) * trialMemory
+	b.successShare += (sample - b.successShare) * trialSmoothing
 }
 
-// Would tells whether Allow would let a request run. What must not repeat is a trial only once a spell of the usual length
-// should be over.
+// WouldAllow reports whether Allow would let a request run, without using up the trial. A non-repeatable request may be
+// a trial only once an outage of the expected length is probably over.
 func (b *Breaker) WouldAllow(now time.Time, repeatable bool) bool {
 	if b.state == Closed {
 		return true
 	}
-	if b.trialing || now.Sub(b.trialAt) < b.trialEvery {
+	if b.trialRunning || now.Sub(b.trialAt) < b.trialInterval {
 		return false
 	}
-	return repeatable || b.doubtNow(now) < trialDoubt
+	return repeatable || b.currentDownProbability(now) < maxTrialDownProbability
 }
 
-// Allow tells whether a request may run now, and whether it is a trial, whose result must be reported with Done.
+// Allow reports whether a request may run now, and whether it is a trial. A trial must end with Report or CancelTrial.
 func (b *Breaker) Allow(now time.Time, repeatable bool) (ok, trial bool) {
 	if !b.WouldAllow(now, repeatable) {
 		return false, false
@@ -207,39 +215,40 @@
 	if b.state == Closed {
 		return true, false
 	}
-	b.trialing = true
+	b.trialRunning = true
 	b.trialAt = now
 	return true, true
 }
 
-// Release takes back a trial that did not run after all.
+// CancelTrial ends a trial that did not run after all; it does nothing for a request that is no trial.
 func (b *Breaker) CancelTrial(trial bool) {
 	if trial {
-		b.trialing = false
+		b.trialRunning = false
 	}
 }
 
-// Done takes the result of a request.
+// Report records the result of a request; trial is what Allow returned for it.
 func (b *Breaker) Report(now time.Time, r Result, trial bool) {
 	if trial {
-		b.trialing = false
+		b.trialRunning = false
 	}
-	b.fade(now)
+	b.decayScore(now)
 	switch r {
 	case OK:
-		b.good(now, trial)
+		b.recordSuccess(now, trial)
 	case Failed:
-		b.bad(now, b.cfg.FailedWeight, trial)
+		b.recordFailure(now, b.cfg.FailedWeight, trial)
 	case Broken:
-		b.bad(now, b.cfg.BrokenWeight, trial)
+		b.recordFailure(now, b.cfg.BrokenWeight, trial)
 	case Overdue:
 		if trial {
-			b.bad(now, b.cfg.FailedWeight, trial)
+			b.recordFailure(now, b.cfg.FailedWeight, trial)
 		}
 	}
 }
 
-// Suspect opens the breaker for evidence that is weighed elsewhere, and tells whether it was closed.
+// ForceOpen opens the breaker on evidence from elsewhere, such as InflightMonitor. It returns false if the breaker was
+// open already.
 func (b *Breaker) ForceOpen(now time.Time) bool {
 	if b.state != Closed {
 		return false
@@ -248,40 +257,41 @@
 	return true
 }
 
-// fade takes off the evidence what the time since the last result does; within a half-life the loss is taken as linear.
-func (b *Breaker) fade(now time.Time) {
-	elapsed := now.Sub(b.seenAt)
-	b.seenAt = now
-	for ; elapsed >= b.cfg.ScoreHalfLife && b.evidence > leastEvidence; elapsed -= b.cfg.ScoreHalfLife {
-		b.evidence /= 2
+// decayScore reduces the failure score for the time since the last result, linearly within a half-life.
+func (b *Breaker) decayScore(now time.Time) {
+	elapsed := now.Sub(b.scoredAt)
+	b.scoredAt = now
+	for ; elapsed >= b.cfg.ScoreHalfLife && b.score > minScore; elapsed -= b.cfg.ScoreHalfLife {
+		b.score /= 2
 	}
-	b.evidence *= 1 - float64(min(elapsed, b.cfg.ScoreHalfLife))/float64(2*b.cfg.ScoreHalfLife)
+	b.score *= 1 - float64(min(elapsed, b.cfg.ScoreHalfLife))/float64(2*b.cfg.ScoreHalfLife)
 }
 
-// good takes an answer that says nothing of a failure.
-func (b *Breaker) good(now time.Time, trial bool) {
+// recordSuccess records an answer that reports no failure.
+func (b *Breaker) recordSuccess(now time.Time, trial bool) {
 	if b.state == Closed {
-		b.evidence /= 2
+		b.score /= 2
 		return
 	}
-	// Only a trial shows how the endpoint is now: other answers are of work that began before it was suspected.
+	// Only a trial shows the endpoint's present state: other answers belong to requests that were sent before the
+	// breaker opened.
 	if !trial {
 		return
 	}
-	b.learn(true)
+	b.observeTrial(true)
 	if b.successes++; b.successes == 1 {
-		b.goodAt = now
+		b.successesSince = now
 	}
-	odds := b.doubtNow(now) / (1 - b.doubtNow(now)) * goodTrial
-	b.doubt, b.doubtAt = odds/(1+odds), now
-	if b.successes >= b.needed(now) || b.doubt < closeDoubt {
-		b.learnSpell(b.goodAt.Sub(b.openedAt))
+	odds := b.currentDownProbability(now) / (1 - b.currentDownProbability(now)) * goodTrialOddsFactor
+	b.downProbability, b.downProbabilityAt = odds/(1+odds), now
+	if b.successes >= b.requiredSuccesses(now) || b.downProbability < maxCloseDownProbability {
+		b.observeOutage(b.successesSince.Sub(b.openedAt))
 		b.close(now)
 	}
 }
 
-// needed is how many trials in a row must succeed.
-func (b *Breaker) needed(now time.Time) int {
+// requiredSuccesses returns how many trials in a row must succeed to close the breaker.
+func (b *Breaker) requiredSuccesses(now time.Time) int {
 	recent := 0
 	for _, at := range b.openings {
 		if now.Sub(at) < b.cfg.OpeningWindow {
@@ -291,11 +301,11 @@
 	return min(b.cfg.RequiredSuccesses+max(recent-1, 0), b.cfg.MaxRequiredSuccesses)
 }
 
-// bad takes an answer that is evidence of a failure.
-func (b *Breaker) bad(now time.Time, weight float64, trial bool) {
+// recordFailure records an answer that reports or shows a failure, with its weight in the failure score.
+func (b *Breaker) recordFailure(now time.Time, weight float64, trial bool) {
 	if b.state == Closed {
-		b.evidence += weight
-		if b.evidence < openAt {
+		b.score += weight
+		if b.score < openScore {
 			return
 		}
 		b.open(now)
@@ -304,31 +314,31 @@
 	if !trial {
 		return
 	}
-	b.learn(false)
+	b.observeTrial(false)
 	b.successes = 0
-	b.trialEvery = min(2*b.trialEvery, b.cfg.MaxTrialInterval)
-	if b.doubtNow(now) < trialDoubt {
-		// The spell lasts longer than usual.
-		b.learnSpell(2 * now.Sub(b.openedAt))
+	b.trialInterval = min(2*b.trialInterval, b.cfg.MaxTrialInterval)
+	if b.currentDownProbability(now) < maxTrialDownProbability {
+		// The outage lasts longer than expected.
+		b.observeOutage(2 * now.Sub(b.openedAt))
 	}
-	b.doubt, b.doubtAt = firstDoubt, now
+	b.downProbability, b.downProbabilityAt = initialDownProbability, now
 }
 
-// open begins the trials; the first one waits for the time between two.
+// open starts the trials; the first may run after the time between two trials.
 func (b *Breaker) open(now time.Time) {
 	b.state = Trial
 	b.successes = 0
-	b.goodShare = unknownShare
-	if now.Sub(b.closedAt) < again {
-		// It closed too early: the spell goes on.
-		b.learnSpell(2 * now.Sub(b.openedAt))
+	b.successShare = initialSuccessShare
+	if now.Sub(b.closedAt) < reopenWindow {
+		// The breaker had closed too early: this is still the same outage.
+		b.observeOutage(2 * now.Sub(b.openedAt))
 	} else {
 		b.openedAt = now
 	}
-	b.doubt, b.doubtAt = firstDoubt, now
+	b.downProbability, b.downProbabilityAt = initialDownProbability, now
 	b.trialAt = now
 	b.openings = append(b.openings, now)
-	if len(b.openings) > mostOpenings {
+	if len(b.openings) > maxOpenings {
 		b.openings = b.openings[1:]
 	}
 }
--- a/breaker/script_test.go
+++ b/breaker/script_test.go
@@ -12,14 +12,14 @@
 
 // TestScripts runs the scenarios of testdata. Commands:
 //
-//	new                        a breaker with the default policy
-//	ask repeatable|unrepeatable   whether such a request may run; asking twice changes nothing
-//	run repeatable|unrepeatable how=ok|failed|broken|overdue   asks, and if it may, runs it with that result
-//	last how=ok|failed|broken     the result of a request that ran as a last resort
-//	likely                     whether most trials went well
-//	suspect                    opens it for other evidence
-//	clear                      closes it: that evidence has proved wrong
-//	wait for=40ms
+//	new                        creates a breaker with the default policy
+//	ask repeatable|unrepeatable   prints whether such a request may run, without running it
+//	run repeatable|unrepeatable how=ok|failed|broken|overdue   runs such a request with that result, if it may
+//	last how=ok|failed|broken     reports the result of a last-resort request
+//	likely                     prints whether a request is likely to succeed
+//	suspect                    forces the breaker open
+//	clear                      forces the breaker closed
+//	wait for=40ms              lets time pass
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/breakers", func(t *testing.T, path string) {
 		b := New(DefaultConfig())
