--- a/registry/doc.go
+++ b/registry/doc.go
@@ -1,3 +1,3 @@
-// Package registry holds the endpoints beside this node that announce themselves by heartbeats. It is the first to know
-// that one leaves, and the egress asks it at the moment of each dispatch.
+// Package registry holds the endpoints beside this node, which announce themselves by heartbeats. It is the first to
+// learn that an endpoint is draining; the egress checks it at the moment of each dispatch.
 package registry
--- a/registry/fuzz_test.go
+++ b/registry/fuzz_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// FuzzInstance has every key lead back to the name and birth that made it.
+// FuzzInstance checks that Instance returns the name and start time that Key was given, and that its results give the
+// same key again.
 func FuzzInstance(f *testing.F) {
 	f.Add("i-1", int64(1780000000000))
 	f.Add("i@1", int64(0))
--- a/registry/instance.go
+++ b/registry/instance.go
@@ -5,22 +5,23 @@
 	"strings"
 )
 
-// bornMark is between an endpoint's name and the time of its birth in the key of an instance.
-const bornMark = "@"
+// birthSeparator separates an endpoint's name from its start time in the key of an incarnation.
+const birthSeparator = "@"
 
-// Key returns the name under which the fleet knows one life of an endpoint: its own name, and when it was born, in milliseconds
-// since 1970, where it says so. An endpoint that starts again under its name holds and knows nothing of before: whatever is believed
-// of it, counted for it or kept for it goes by this key.
+// Key returns the name by which the fleet identifies one incarnation of an endpoint, that is one run of its process:
+// the endpoint's own name and, where it reports one, its start time ("born") in milliseconds since 1970. An endpoint
+// that restarts under the same name remembers nothing of its previous run, so everything that is learned, counted or
+// stored about an endpoint is stored under this key.
 func Key(instance string, born int64) string {
 	if born <= 0 {
 		return instance
 	}
-	return instance + bornMark + strconv.FormatInt(born, 10)
+	return instance + birthSeparator + strconv.FormatInt(born, 10)
 }
 
-// Instance returns the endpoint's own name, and when it was born, 0 if the key does not say.
+// Instance returns the endpoint's own name and its start time, 0 if the key contains none.
 func Instance(key string) (instance string, born int64) {
-	i := strings.LastIndex(key, bornMark)
+	i := strings.LastIndex(key, birthSeparator)
 	if i < 0 {
 		return key, 0
 	}
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -18,49 +18,49 @@
 )
 
 const (
-	// mostEnded bounds the instances remembered after their end, whose late heartbeats must change nothing.
-	mostEnded = 256
-	// mostSlots is the largest number of slots that is believed.
-	mostSlots = 10000
+	// maxEnded bounds how many ended incarnations are remembered so that their late heartbeats change nothing.
+	maxEnded = 256
+	// maxSlots is the largest number of slots that a heartbeat may report.
+	maxSlots = 10000
 )
 
-// Beat is one heartbeat of an endpoint.
+// Heartbeat is one heartbeat of an endpoint.
 type Heartbeat struct {
 	// Instance is the endpoint's own name.
 	Instance string
-	// Born is when its life began, in milliseconds since 1970; 0 if it does not say.
+	// Born is when the endpoint's process started, in milliseconds since 1970; 0 if not reported.
 	Born int64
 	// Service is the key of the service's row.
 	Service string
 	// Address is the endpoint's IP and port.
 	Address string
-	// Slots is how many requests it runs at once.
+	// Slots is how many requests the endpoint runs at once.
 	Slots int
-	// Draining is set when it takes nothing new.
+	// Draining is set when the endpoint takes no new requests.
 	Draining bool
-	// Cold is how much longer it is slow from its start.
+	// Cold is how much longer the endpoint remains slow after its start.
 	Cold time.Duration
-	// Sequence rises with each call of a life.
+	// Sequence increases with each heartbeat of an incarnation.
 	Sequence uint64
 }
 
-// Key names the endpoint's life.
+// Key identifies the endpoint's incarnation.
 func (b Heartbeat) Key() string { return Key(b.Instance, b.Born) }
 
 // Endpoint is one endpoint beside this node.
 type Endpoint struct {
-	// Entry is its row.
+	// Entry is the endpoint's row.
 	table.Entry[table.Endpoint]
-	// Leaving is set for good once it has said that it drains or leaves.
+	// Draining is set for good once the endpoint has reported that it drains or leaves.
 	Draining bool
-	// ToldAt is when it last said how long it is cold, the zero time if it never did, and ColdUntil until when that is, both by
-	// clock.Boot.
+	// ReportedAt is when the endpoint last reported how long it remains cold, the zero time if it never did; ColdUntil
+	// is the end of that time. Both are readings of clock.Boot.
 	ReportedAt, ColdUntil time.Time
-	// sequence is the highest that was heard.
+	// sequence is the highest sequence number received.
 	sequence uint64
 }
 
-// Registry is safe for concurrent use.
+// Registry is the set of endpoints beside this node; it is safe for concurrent use.
 type Registry struct {
 	host, hall string
 	log        *zerolog.Logger
@@ -68,41 +68,42 @@
 	onChange   func([]table.Announced)
 
 	mu sync.Mutex
-	// live are the instances at their addresses, leaving ones included; ended are the last ones that were replaced there or
-	// left before they had begun here, oldest first.
+	// live holds the current incarnations by key, draining ones included. ended holds the keys of the last incarnations
+	// that were replaced by another or that left before their first heartbeat here, oldest first.
 	live  map[string]Endpoint
 	ended []string
-	// left are the endpoints that said that they leave before this process had met them, without their birth, by their names, with
-	// when that was in milliseconds since 1970.
-	left map[string]int64
+	// leftAt holds endpoints that reported leaving, without a start time, before this process had received a heartbeat
+	// of theirs: their names and when they reported it, in milliseconds since 1970.
+	leftAt map[string]int64
 }
 
-// New returns an empty registry of a host; onChange is called with every endpoint after each change, and must not block.
+// New returns an empty registry for a host. onChange is called with all endpoints after each change and must not block.
 func New(host, hall string, log *zerolog.Logger, onChange func([]table.Announced)) *Registry {
 	return &Registry{
-		host: host, hall: hall, log: log, clock: clock.Boot, onChange: onChange, live: make(map[string]Endpoint), left: make(map[string]int64),
+		host: host, hall: hall, log: log, clock: clock.Boot, onChange: onChange, live: make(map[string]Endpoint), leftAt: make(map[string]int64),
 	}
 }
 
-// Beat takes a heartbeat, BadRequest for one that makes no sense. Once it returns, a draining endpoint gets nothing new.
+// Beat records a heartbeat; the error is BadRequest if it is invalid. Once Beat returns, a draining endpoint gets no
+// new requests.
 //
-// Invariant: a life that was ever draining or leaving never takes new work again, and none that another has followed, under its name
-// or at its address, comes back, whatever comes later.
+// Invariant: an incarnation that was ever draining or leaving never takes new requests again, and one that was replaced
+// by a later one of the same name or address never comes back, whatever arrives later.
 func (r *Registry) Beat(b Heartbeat) error {
 	if err := b.Check(); err != nil {
 		return err
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.past(b) {
+	if r.isSuperseded(b) {
 		return nil
 	}
 	key, now := b.Key(), r.clock()
 	old, known := r.live[key]
 	if known && b.Sequence <= old.sequence {
-		// An old heartbeat that says it drains is believed in that alone: draining is for good.
+		// A late heartbeat with an older sequence number counts only if it reports draining, because draining is final.
 		if b.Draining {
-			r.drain(old)
+			r.markDraining(old)
 		}
 		return nil
 	}
@@ -119,17 +120,18 @@
 	r.replaceOthers(next)
 	r.live[key] = next
 	if !known || old.Value != next.Value {
-		r.changed(next)
+		r.notifyChange(next)
 	}
 	return nil
 }
 
-// past tells whether a heartbeat is of a life that has ended, or that another has followed; the lock is held.
-func (r *Registry) past(b Heartbeat) bool {
+// isSuperseded reports whether a heartbeat is from an incarnation that has ended or that another one has replaced; the
+// caller holds the lock.
+func (r *Registry) isSuperseded(b Heartbeat) bool {
 	if slices.Contains(r.ended, b.Key()) {
 		return true
 	}
-	if at, ok := r.left[b.Instance]; ok && b.Born <= at {
+	if at, ok := r.leftAt[b.Instance]; ok && b.Born <= at {
 		return true
 	}
 	for key, e := range r.live {
@@ -141,8 +143,9 @@
 	return false
 }
 
-// Restore takes back an endpoint that an earlier life of the node knew and that has just said that it is still the same
-// and not leaving, and how long it is cold; one that has spoken to this life goes by its own word.
+// Restore adds an endpoint that an earlier run of this node had announced, after the endpoint has just confirmed that
+// it is still the same incarnation and not draining; cold is how much longer it remains cold. It does nothing if any
+// endpoint has sent a heartbeat to this run, or if this incarnation has ended.
 func (r *Registry) Restore(a table.Announced, cold time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -152,10 +155,10 @@
 	now := r.clock()
 	e := Endpoint{Entry: table.Entry[table.Endpoint]{Key: a.Key, Value: a.Value}, ReportedAt: now, ColdUntil: now.Add(cold)}
 	r.live[a.Key] = e
-	r.changed(e)
+	r.notifyChange(e)
 }
 
-// Check refuses a heartbeat that makes no sense.
+// Check returns BadRequest for an invalid heartbeat.
 func (b Heartbeat) Check() error {
 	switch {
 	case b.Instance == "" || strings.ContainsAny(b.Instance, " \t\r\n/"):
@@ -164,8 +167,8 @@
 		return fault.New(fault.BadRequest, "heartbeat.service", "want a service")
 	case b.Born < 0:
 		return fault.New(fault.BadRequest, "heartbeat.born", "want milliseconds since 1970")
-	case b.Slots <= 0 || b.Slots > mostSlots:
-		return fault.New(fault.BadRequest, "heartbeat.slots", fmt.Sprintf("want 1 to %d slots", mostSlots))
+	case b.Slots <= 0 || b.Slots > maxSlots:
+		return fault.New(fault.BadRequest, "heartbeat.slots", fmt.Sprintf("want 1 to %d slots", maxSlots))
 	}
 	if _, err := netip.ParseAddrPort(b.Address); err != nil {
 		return fault.New(fault.BadRequest, "heartbeat.address", "want an IP and port")
@@ -173,7 +176,7 @@
 	return nil
 }
 
-// replaceOthers ends the lives that were at the same address or under the same name before.
+// replaceOthers ends the other incarnations at the same address or of the same name.
 func (r *Registry) replaceOthers(next Endpoint) {
 	name, _ := Instance(next.Key)
 	for key, e := range r.live {
@@ -184,68 +187,69 @@
 	}
 }
 
-// end forgets an instance for good: no later heartbeat of it counts.
+// end removes an incarnation for good: its later heartbeats are ignored.
 func (r *Registry) end(key string) {
 	delete(r.live, key)
 	if slices.Contains(r.ended, key) {
 		return
 	}
 	r.ended = append(r.ended, key)
-	if extra := len(r.ended) - mostEnded; extra > 0 {
+	if extra := len(r.ended) - maxEnded; extra > 0 {
 		r.ended = slices.Delete(r.ended, 0, extra)
 	}
 }
 
-// changed logs a change of one endpoint and tells of all.
-func (r *Registry) changed(e Endpoint) {
+// notifyChange logs the change of one endpoint and passes all endpoints to onChange.
+func (r *Registry) notifyChange(e Endpoint) {
 	events.EndpointAnnounced.Log(r.log).Str("endpoint", e.Key).Str("service", e.Value.Service).
 		Bool("leaving", e.Draining).Uint64("sequence", e.sequence).Send()
 	r.onChange(r.list())
 }
 
-// Leave takes an endpoint's word that it leaves for good; it may finish what it has. Without its birth, 0, the word is of the life
-// that is there.
+// Leave records that an endpoint is leaving for good; it may finish its in-flight requests. If born is 0, the report
+// applies to the current incarnation of that name.
 func (r *Registry) Leave(now time.Time, instance string, born int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	met := false
+	found := false
 	for key, e := range r.live {
 		if name, at := Instance(key); name == instance && (born == 0 || at == born) {
-			r.drain(e)
-			met = true
+			r.markDraining(e)
+			found = true
 		}
 	}
-	// One that this process never met must not begin later by a heartbeat that was on its way.
+	// An endpoint that this process doesn't know yet must not be added later by a heartbeat that was still on its way.
 	switch {
-	case met:
+	case found:
 	case born > 0:
 		r.end(Key(instance, born))
 	default:
 		r.end(instance)
-		r.noteLeft(now, instance)
+		r.recordLeft(now, instance)
 	}
 }
 
-// noteLeft remembers that an endpoint has left whose birth is not known: later lives of it are born after that.
-func (r *Registry) noteLeft(now time.Time, instance string) {
-	if len(r.left) >= mostEnded {
-		clear(r.left)
+// recordLeft remembers when an endpoint of unknown start time left; incarnations that started after that are not
+// affected.
+func (r *Registry) recordLeft(now time.Time, instance string) {
+	if len(r.leftAt) >= maxEnded {
+		clear(r.leftAt)
 	}
-	r.left[instance] = now.UnixMilli()
+	r.leftAt[instance] = now.UnixMilli()
 }
 
-// drain keeps new work from an instance for good.
-func (r *Registry) drain(e Endpoint) {
+// markDraining keeps new requests from an incarnation for good.
+func (r *Registry) markDraining(e Endpoint) {
 	if e.Draining {
 		return
 	}
 	e.Draining = true
 	e.Value.Phase = table.Draining
 	r.live[e.Key] = e
-	r.changed(e)
+	r.notifyChange(e)
 }
 
-// Endpoint returns one endpoint beside this node.
+// Endpoint returns the endpoint with the key.
 func (r *Registry) Endpoint(key string) (Endpoint, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -253,7 +257,7 @@
 	return e, ok
 }
 
-// Of returns an endpoint of a service that takes new work, the first by name.
+// ActiveEndpoint returns an endpoint of a service that takes new requests, the first by key.
 func (r *Registry) ActiveEndpoint(service string) (Endpoint, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -266,7 +270,7 @@
 	return first, found
 }
 
-// Serving tells whether some endpoint takes new work.
+// HasActive reports whether any endpoint takes new requests.
 func (r *Registry) HasActive() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -278,14 +282,14 @@
 	return false
 }
 
-// Known returns how many endpoints have announced themselves, leaving ones included.
+// Count returns how many endpoints have announced themselves, draining ones included.
 func (r *Registry) Count() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.live)
 }
 
-// list returns every endpoint, sorted by key; the lock is held.
+// list returns all endpoints, sorted by key; the caller holds the lock.
 func (r *Registry) list() []table.Announced {
 	out := make([]table.Announced, 0, len(r.live))
 	for _, e := range r.live {
--- a/registry/script_test.go
+++ b/registry/script_test.go
@@ -15,12 +15,12 @@
 // TestScripts runs the scenarios of testdata. Commands:
 //
 //	beat key=K [born=N] [service=S] [at=IP:PORT] [slots=N] [draining] seq=N
-//	leave key=K [born=N] [at=N]    at a time in milliseconds since 1970
+//	leave key=K [born=N] [at=N]    the endpoint reports leaving, at a time in milliseconds since 1970
 //	serving
-//	new                    another life of the node
-//	restore key=K [draining]
+//	new                    restarts the node with an empty registry
+//	restore key=K [draining]   an endpoint confirms what an earlier run announced
 //
-// Each prints what the registry announces, if that has changed.
+// Each prints what the registry announces if that has changed; serving prints whether any endpoint takes new requests.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		log := zerolog.Nop()
