--- a/retry/backoff_test.go
+++ b/retry/backoff_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestBackoffDoublesUpToMost checks the waits after failures, and that a success begins anew.
-func TestBackoffDoublesUpToMost(t *testing.T) {
+// TestBackoffDoublesUpToMax checks the delays after failures, and that a success resets them.
+func TestBackoffDoublesUpToMax(t *testing.T) {
 	b := Backoff{Initial: 250 * time.Millisecond, Max: time.Second}
 	var got []time.Duration
 	for i := range 6 {
@@ -22,7 +22,7 @@
 	b = Backoff{Initial: time.Second}
 	for range 3 {
 		if got, want := b.Next(), time.Second; got != want {
-			t.Errorf("without a longest wait: got %v, want %v", got, want)
+			t.Errorf("without a maximum: got %v, want %v", got, want)
 		}
 	}
 }
--- a/retry/doc.go
+++ b/retry/doc.go
@@ -1,2 +1,2 @@
-// Package retry decides whether a request may be sent a further time.
+// Package retry decides whether a request may be sent again, and bounds how many retries reach each endpoint.
 package retry
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -7,67 +7,69 @@
 )
 
 const (
-	// MostAttempts bounds the sends of one request.
+	// MaxAttempts bounds how often one request is sent.
 	MaxAttempts = 3
-	// refusingShare is the share of refused requests above which a service gets no retries for lack of capacity.
-	refusingShare = 0.5
-	// refusalMemory is over how many of the last answers that share is taken.
-	refusalMemory = 50
+	// maxRefusedShare is the share of refused requests above which a service gets no retries after a refusal for lack
+	// of capacity.
+	maxRefusedShare = 0.5
+	// refusalSmoothing is the number of last answers over which that share is averaged.
+	refusalSmoothing = 50
 )
 
-// Refusals remembers how much of its work a service refuses; one goroutine owns it or its owner locks it.
+// Refusals tracks how many of its requests a service refuses. It is not safe for concurrent use.
 type Refusals struct {
-	// share is the recent share of sends that were refused for lack of capacity.
+	// share is the moving average of requests refused for lack of capacity.
 	share float64
 }
 
-// Answer notes whether a send was refused for lack of capacity.
+// Record records whether a request was refused for lack of capacity.
 func (r *Refusals) Record(refused bool) {
-	hit := 0.0
+	sample := 0.0
 	if refused {
-		hit = 1
+		sample = 1
 	}
-	r.share += (hit - r.share) / refusalMemory
+	r.share += (sample - r.share) / refusalSmoothing
 }
 
-// Refusing tells that the service as a whole turns work away.
-func (r *Refusals) Refusing() bool { return r.share > refusingShare }
+// Refusing reports whether the service refuses most of its requests.
+func (r *Refusals) Refusing() bool { return r.share > maxRefusedShare }
 
-// Attempt is what the decision rests on.
+// Attempt is the state of a request after its last attempt, from which CanRetry and Decide decide about a retry.
 type Attempt struct {
-	// Number is how many sends there were, 1 after the first.
+	// Attempts is how often the request has been sent, 1 after the first attempt.
 	Attempts int
-	// Most is how many sends the route allows; 0 stands for MostAttempts.
+	// MaxAttempts is how many attempts the route allows; 0 means the constant MaxAttempts.
 	MaxAttempts int
-	// Outcome is how the last one ended.
+	// Outcome says whether the endpoint ran the last attempt.
 	Outcome peerpb.Outcome
-	// Overloaded is set when it was refused for lack of capacity.
+	// Overloaded is set when the last attempt was refused for lack of capacity.
 	Overloaded bool
-	// Misplaced is set when it was refused because the sender's view was old: drain, wrong host, no link.
+	// Misrouted is set when the last attempt was refused because the sender's view was out of date: the endpoint
+	// drains, is on another host, or has no link.
 	Misrouted bool
-	// Failed is set when the endpoint answered that it could not do the work.
+	// Failed is set when the endpoint answered that it couldn't do the work.
 	Failed bool
 	// Repeatable is set when the request may run more than once.
 	Repeatable bool
-	// Started is set when part of an answer went to the caller.
+	// AnswerStarted is set when part of an answer has been sent to the caller.
 	AnswerStarted bool
-	// Replayable is set while the whole request body can be sent again.
+	// Replayable is set while the complete request body can still be sent again.
 	Replayable bool
-	// Left is the time to the deadline.
+	// TimeLeft is the time until the deadline.
 	TimeLeft time.Duration
-	// Typical is the service's usual service time.
+	// TypicalServiceTime is the service's usual service time.
 	TypicalServiceTime time.Duration
 }
 
-// Worthwhile tells whether a further send is allowed and could still help, the budget aside.
+// CanRetry reports whether a retry is allowed and could still succeed in time, regardless of the budget.
 //
-// Invariant: a request that is not repeatable is sent again only after proof that it was not run.
+// Invariant: a non-repeatable request is sent again only after proof that it has not run.
 func CanRetry(a Attempt) bool {
-	most := MaxAttempts
+	maxAttempts := MaxAttempts
 	if a.MaxAttempts > 0 {
-		most = a.MaxAttempts
+		maxAttempts = a.MaxAttempts
 	}
-	if a.Attempts >= most || a.AnswerStarted || !a.Replayable || a.TimeLeft <= a.TypicalServiceTime {
+	if a.Attempts >= maxAttempts || a.AnswerStarted || !a.Replayable || a.TimeLeft <= a.TypicalServiceTime {
 		return false
 	}
 	switch a.Outcome {
@@ -82,8 +84,8 @@
 	return false
 }
 
-// Decide tells whether a further send may be asked for; the endpoint's budget has the last word. What was misplaced goes
-// again all the same, and nothing goes again for lack of capacity into a service that is refusing.
+// Decide reports whether a retry may be requested; the endpoint's budget decides last. A misrouted request is retried
+// even if the service refuses most of its requests; one that was refused for lack of capacity isn't.
 func (r *Refusals) Decide(a Attempt) bool {
 	if !CanRetry(a) {
 		return false
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -16,8 +16,9 @@
 	"ran": peerpb.Outcome_OUTCOME_RAN, "not-run": peerpb.Outcome_OUTCOME_NOT_RUN, "unknown": peerpb.Outcome_OUTCOME_UNKNOWN,
 }
 
-// TestScripts runs the table of testdata: after outcome=O [n=N] [repeatable] [failed] [started] [misplaced]
-// [overloaded] [large] [left=1s].
+// TestScripts runs the cases of testdata/decide: after outcome=O [n=N] [repeatable] [failed] [started] [misplaced]
+// [overloaded] [refusing] [large] [left=1s]. Each prints whether the request is retried and how many retries of the
+// budget that takes.
 func TestScripts(t *testing.T) {
 	datadriven.RunTest(t, "testdata/decide", func(t *testing.T, d *datadriven.TestData) string {
 		a := Attempt{
@@ -25,11 +26,11 @@
 			Misrouted: d.HasArg("misplaced"), Overloaded: d.HasArg("overloaded"), Replayable: !d.HasArg("large"),
 			TimeLeft: time.Second, TypicalServiceTime: 10 * time.Millisecond,
 		}
-		word, left := "", "1s"
-		d.ScanArgs(t, "outcome", &word)
+		outcome, left := "", "1s"
+		d.ScanArgs(t, "outcome", &outcome)
 		d.MaybeScanArgs(t, "n", &a.Attempts)
 		d.MaybeScanArgs(t, "left", &left)
-		a.Outcome = outcomes[word]
+		a.Outcome = outcomes[outcome]
 		a.TimeLeft, _ = time.ParseDuration(left)
 		b := NewBudget(start.Add(-2*window), window, 0)
 		b.SetSlack(start.Add(-2*window), 5/savedShare)
@@ -45,13 +46,13 @@
 	})
 }
 
-// start is when the tests' budgets begin, window what they count over.
+// start is when the tests' budgets begin, window the time over which they count.
 var start = time.Unix(1000, 0)
 
 const window = 10 * time.Second
 
-// TestBudgetBoundsRetries checks the budget's invariant over random sequences: no window holds more retries than the slack
-// and what the requests of that window or of the one before earn.
+// TestBudgetBoundsRetries checks the budget's invariant on random sequences: no window holds more retries than the
+// slack plus what the requests of that window or of the one before earn.
 func TestBudgetBoundsRetries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slack := rapid.Float64Range(0, 10).Draw(t, "slack")
@@ -85,17 +86,17 @@
 				now = now.Add(300 * time.Millisecond)
 			}
 			from := now.Add(-window)
-			most := max(between(requests, from, next()), between(requests, from.Add(-window), from))
-			if got, want := float64(between(retries, from, next())), slack+share*float64(most); got > want+1e-9 {
+			counted := max(between(requests, from, next()), between(requests, from.Add(-window), from))
+			if got, want := float64(between(retries, from, next())), slack+share*float64(counted); got > want+1e-9 {
 				t.Fatalf("retries of a window: got %v, want at most %v", got, want)
 			}
 		}
 	})
 }
 
-// TestYoungBudgetGrows checks that a process which has just started does not grant at once what an earlier one beside the
-// same endpoint may have granted, and nothing of the slack before it knows the fleet.
-func TestYoungBudgetGrows(t *testing.T) {
+// TestNewBudgetStartsEmpty checks that a new process does not at once grant retries that the previous process at the
+// same endpoint may have granted already, and that slack accrues only after the settle time.
+func TestNewBudgetStartsEmpty(t *testing.T) {
 	b := NewBudget(start, window, settle)
 	b.SetSlack(start, 16)
 	for _, c := range []struct {
@@ -108,9 +109,9 @@
 	}
 }
 
-// TestPartsAddUpToTheSlack checks that the parts of a service's endpoints are at most its slack in any window, however many
-// there are, and that whoever has a part can save up a retry unless the whole slack is too small for one.
-func TestPartsAddUpToTheSlack(t *testing.T) {
+// TestSharesAddUpToSlack checks that the shares of a service's endpoints add up to at most its slack, whatever their
+// number, and that an endpoint with a share can save up a whole retry unless the slack itself is too small for one.
+func TestSharesAddUpToSlack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := FleetSlack{
 			Slack:    rapid.Float64Range(0, 1000).Draw(t, "slack"),
@@ -120,10 +121,10 @@
 		n := rapid.IntRange(1, 1000).Draw(t, "endpoints")
 		got := 0.0
 		for rank := range n {
-			part := s.EndpointShare(n, rank)
-			got += part
-			if part > 0 && part < min(s.MaxShare, s.Slack, 1/savedShare) {
-				t.Fatalf("part of endpoint %d of %d: got %v, which never saves up a retry", rank, n, part)
+			share := s.EndpointShare(n, rank)
+			got += share
+			if share > 0 && share < min(s.MaxShare, s.Slack, 1/savedShare) {
+				t.Fatalf("share of endpoint %d of %d: got %v, which never saves up a retry", rank, n, share)
 			}
 		}
 		if got > s.Slack+1e-6 {
@@ -132,9 +133,9 @@
 	})
 }
 
-// TestNeverAgainAfterDoubt checks that no combination lets a request that must not repeat go again unless it was
-// proved not run.
-func TestNeverAgainAfterDoubt(t *testing.T) {
+// TestNoRetryOfUnknownOutcome checks that a non-repeatable request is never retried, whatever else holds, unless it is
+// proved that it has not run.
+func TestNoRetryOfUnknownOutcome(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := Attempt{
 			Attempts:   rapid.IntRange(0, 5).Draw(t, "n"),
@@ -149,8 +150,9 @@
 	})
 }
 
-// TestBurstFollowsTheFleet checks that a node which has heard of the whole fleet gives back what it held as if alone.
-func TestBurstFollowsTheFleet(t *testing.T) {
+// TestShareShrinksWithFleet checks that an endpoint that learns of the other endpoints gives up the retries it had
+// saved up while it knew of none.
+func TestShareShrinksWithFleet(t *testing.T) {
 	share := FleetSlack{Slack: 80, Window: window, MaxShare: 24}
 	b := NewBudget(start, window, 0)
 	b.SetSlack(start, share.EndpointShare(1, 0))
--- a/retry/share.go
+++ b/retry/share.go
@@ -2,20 +2,23 @@
 
 import "time"
 
-// Share is the slack of retries that the whole fleet may make for a service in a window besides a share of its requests.
+// FleetSlack is the number of retries that the whole fleet may make for a service per window in addition to a ratio of
+// its requests, and how it is divided among the endpoints.
 type FleetSlack struct {
-	// Slack is the fleet's retries in a window beyond the ratio.
+	// Slack is the number of the fleet's retries per window beyond the ratio.
 	Slack float64
 	// Window is the time over which the fleet's retries are counted.
 	Window time.Duration
-	// Most bounds one endpoint's part, for while few of a service's endpoints are known.
+	// MaxShare bounds one endpoint's share, for the time while only few of the service's endpoints are known.
 	MaxShare float64
 }
 
-// Part returns what an endpoint may use in a window when its service has so many, of which rank come before it. Where the
-// parts of all would be too small to ever save up one retry, only the first ones have a part.
+// EndpointShare returns the retries per window of one endpoint, given the number of the service's endpoints and how
+// many of them are ranked before it. Where equal shares would be too small to ever save up one retry, only the first
+// endpoints get one.
 //
-// Invariant: the parts of all endpoints are at most the slack, also while some of them count others that have left.
+// Invariant: the shares of all endpoints add up to at most Slack, even while some of them still count endpoints that
+// have been removed.
 func (s FleetSlack) EndpointShare(endpoints, rank int) float64 {
 	holders := s.Holders()
 	if rank >= holders {
@@ -24,5 +27,5 @@
 	return min(s.Slack/float64(max(1, min(endpoints, holders))), s.MaxShare)
 }
 
-// Holders returns how many endpoints of a service can have a part of the slack.
+// Holders returns how many endpoints of a service can have a share of the slack.
 func (s FleetSlack) Holders() int { return max(1, int(savedShare*s.Slack)) }
