--- a/dedupe/doc.go
+++ b/dedupe/doc.go
@@ -1,3 +1,3 @@
-// Package dedupe keeps, at a key's home, what is known of each idempotency key, and decides whether a request with
-// that key may run. It is pure: the time comes in, decisions go out, nothing is kept on disk.
+// Package dedupe is the record of idempotency keys that the owner of a key holds. It decides whether a request with the
+// key may run. It is pure: callers pass in the time and carry out the returned decisions; nothing is written to disk.
 package dedupe
--- a/dedupe/script_test.go
+++ b/dedupe/script_test.go
@@ -16,28 +16,28 @@
 
 // TestScripts runs the scenarios of testdata. Commands:
 //
-//	home window=10m bytes=N
-//	claim key=K [attempt=N] [print=N] [fence] [covered] [vouched] [within=1s]
-//	finish key=K [body=TEXT] [lost]
-//	release key=K
-//	wait for=1m
+//	home window=10m bytes=N      creates a store
+//	claim key=K [attempt=N] [print=N] [fence] [covered] [vouched] [within=1s]   covered sets CompleteHistory
+//	finish key=K [body=TEXT] [lost]   the request ran, or with lost: its outcome is unknown
+//	release key=K                the request did not run
+//	wait for=1m                  lets time pass
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		var h *Store
+		var s *Store
 		now := time.Unix(0, 0)
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			id := ID{Scope: "s"}
 			d.MaybeScanArgs(t, "key", &id.Key)
 			switch d.Cmd {
 			case "home":
-				most := 1 << 20
-				d.MaybeScanArgs(t, "bytes", &most)
-				h = NewStore(span(t, d, "window", "10m"), most)
+				maxBytes := 1 << 20
+				d.MaybeScanArgs(t, "bytes", &maxBytes)
+				s = NewStore(span(t, d, "window", "10m"), maxBytes)
 			case "claim":
 				c := Claim{ID: id, Fence: d.HasArg("fence"), CompleteHistory: d.HasArg("covered"), Vouched: d.HasArg("vouched"), Deadline: now.Add(span(t, d, "within", "1s"))}
 				d.MaybeScanArgs(t, "attempt", &c.Attempt)
 				d.MaybeScanArgs(t, "print", &c.Fingerprint)
-				v, a := h.Claim(now, c)
+				v, a := s.Claim(now, c)
 				return strings.TrimSpace(verdicts[v]+" "+string(a.Body)) + "\n"
 			case "finish":
 				body := ""
@@ -46,15 +46,15 @@
 				if d.HasArg("lost") {
 					outcome = peerpb.Outcome_OUTCOME_UNKNOWN
 				}
-				h.Finish(now, id, outcome, Answer{Head: &peerpb.Head{Status: 200}, Body: []byte(body), Stored: true})
+				s.Finish(now, id, outcome, Answer{Head: &peerpb.Head{Status: 200}, Body: []byte(body), Stored: true})
 			case "release":
-				h.Release(now, id)
+				s.Release(now, id)
 			case "wait":
 				now = now.Add(span(t, d, "for", "1s"))
 			default:
 				d.Fatalf(t, "no such command")
 			}
-			return fmt.Sprintf("%d keys\n", h.Len())
+			return fmt.Sprintf("%d keys\n", s.Len())
 		})
 	})
 }
@@ -69,17 +69,17 @@
 	return v
 }
 
-// TestOneGrantUntilRelease checks on random sequences of one home that between two grants of a key there is a release,
-// and that a key that ran is never granted again within the window.
+// TestOneGrantUntilRelease checks on random sequences of claims in one store that between two grants of a key there is
+// a release, and that a key that ran is never granted again within the window.
 func TestOneGrantUntilRelease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := NewStore(time.Minute, 64<<10)
+		s := NewStore(time.Minute, 64<<10)
 		now := time.Unix(0, 0)
-		type life struct {
+		type keyState struct {
 			held, ran bool
 			at        time.Time
 		}
-		lives := map[ID]life{}
+		states := map[ID]keyState{}
 		key := rapid.Custom(func(t *rapid.T) ID { return ID{"s", rapid.SampledFrom([]string{"a", "b"}).Draw(t, "key")} })
 		t.Repeat(map[string]func(*rapid.T){
 			"claim": func(t *rapid.T) {
@@ -88,35 +88,35 @@
 					Fence: rapid.Bool().Draw(t, "fence"), CompleteHistory: rapid.Bool().Draw(t, "covered"), Vouched: rapid.Bool().Draw(t, "vouched"),
 					Deadline: now.Add(time.Second),
 				}
-				v, _ := h.Claim(now, c)
+				v, _ := s.Claim(now, c)
 				if v != Grant {
 					return
 				}
-				l := lives[c.ID]
-				if l.held || l.ran && now.Sub(l.at) <= time.Minute {
-					t.Fatalf("claim of %v: got a grant while held=%v ran=%v, want none", c.ID, l.held, l.ran)
+				state := states[c.ID]
+				if state.held || state.ran && now.Sub(state.at) <= time.Minute {
+					t.Fatalf("claim of %v: got a grant while held=%v ran=%v, want none", c.ID, state.held, state.ran)
 				}
-				lives[c.ID] = life{held: true, at: now}
+				states[c.ID] = keyState{held: true, at: now}
 			},
 			"finish": func(t *rapid.T) {
 				id := key.Draw(t, "id")
-				if lives[id].held {
-					h.Finish(now, id, peerpb.Outcome_OUTCOME_RAN, Answer{})
-					lives[id] = life{ran: true, at: now}
+				if states[id].held {
+					s.Finish(now, id, peerpb.Outcome_OUTCOME_RAN, Answer{})
+					states[id] = keyState{ran: true, at: now}
 				}
 			},
 			"release": func(t *rapid.T) {
 				id := key.Draw(t, "id")
-				if lives[id].held {
-					h.Release(now, id)
-					lives[id] = life{}
+				if states[id].held {
+					s.Release(now, id)
+					states[id] = keyState{}
 				}
 			},
 			"time": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(1, 30).Draw(t, "s")) * time.Second)
-				for id, l := range lives {
-					if now.Sub(l.at) > time.Minute {
-						lives[id] = life{}
+				for id, state := range states {
+					if now.Sub(state.at) > time.Minute {
+						states[id] = keyState{}
 					}
 				}
 			},
