--- a/keyowner/doc.go
+++ b/keyowner/doc.go
@@ -1,3 +1,3 @@
-// Package keyowner tells where an idempotency key is at home: at the endpoints of its service that rendezvous hashing
+// Package keyowner determines which endpoints own an idempotency key: those of its service that rendezvous hashing
 // ranks highest for it.
 package keyowner
--- a/keyowner/owners.go
+++ b/keyowner/owners.go
@@ -10,40 +10,42 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// Count is how many homes a key has: the first, and the one that takes first attempts while that cannot be reached.
+// OwnersPerKey is how many owners a key has: the first one, and one that takes first attempts while the first is
+// unreachable.
 const OwnersPerKey = 2
 
-// Names returns the endpoints that can be homes, in key order: those in the table that fit, because the platform's list shows their hosts
-// and the key's data may be there. Draining ones stay homes until they are retired. A host that the list no longer shows is gone and grants
-// nothing more, so that nodes whose lists differ for a while still meet in a home that both name.
-func Candidates(v table.ServiceView, fits func(table.Endpoint) bool) []string {
+// Candidates returns the endpoints that can own a key, in key order: those in the table that eligible accepts, because
+// their hosts are on the platform's list and the key's data may be stored there. Draining endpoints remain owners until
+// they are retired. A host that is no longer on the list has expired and grants nothing more, so nodes whose lists
+// differ for a while still agree on an owner that both lists contain.
+func Candidates(v table.ServiceView, eligible func(table.Endpoint) bool) []string {
 	names := make([]string, 0, len(v.Endpoints))
 	for _, e := range v.Endpoints {
-		if fits(e.Value) {
+		if eligible(e.Value) {
 			names = append(names, e.Key)
 		}
 	}
 	return names
 }
 
-// Homes returns the homes of a key, first the one that decides.
+// Owners returns the owners of a key; the first one decides.
 func Owners(endpoints []string, id dedupe.ID) []string {
 	type ranked struct {
 		name string
 		rank uint64
 	}
-	list := make([]ranked, 0, len(endpoints))
+	ranking := make([]ranked, 0, len(endpoints))
 	for _, name := range endpoints {
-		list = append(list, ranked{name: name, rank: rank(name, id)})
+		ranking = append(ranking, ranked{name: name, rank: rank(name, id)})
 	}
-	slices.SortFunc(list, func(a, b ranked) int {
+	slices.SortFunc(ranking, func(a, b ranked) int {
 		return cmp.Or(cmp.Compare(b.rank, a.rank), cmp.Compare(a.name, b.name))
 	})
-	homes := make([]string, 0, OwnersPerKey)
-	for _, r := range list[:min(OwnersPerKey, len(list))] {
-		homes = append(homes, r.name)
+	owners := make([]string, 0, OwnersPerKey)
+	for _, r := range ranking[:min(OwnersPerKey, len(ranking))] {
+		owners = append(owners, r.name)
 	}
-	return homes
+	return owners
 }
 
 func rank(name string, id dedupe.ID) uint64 {
