--- a/inflight/counter.go
+++ b/inflight/counter.go
@@ -8,23 +8,24 @@
 	"github.com/lynxplank/lynxplank/fault"
 )
 
-const lookEvery = 2 * time.Millisecond
+// pollInterval is how often Wait checks the count.
+const pollInterval = 2 * time.Millisecond
 
-// Counter counts work under way; unlike a sync.WaitGroup it may be added to while somebody waits.
+// Counter counts in-flight requests or tasks. Unlike a sync.WaitGroup it may be incremented while Wait runs.
 type Counter struct {
 	n atomic.Int64
 }
 
-// Add counts one more piece of work.
+// Add counts one more.
 func (c *Counter) Add() { c.n.Add(1) }
 
-// Done counts one piece of work less.
+// Done counts one less.
 func (c *Counter) Done() { c.n.Add(-1) }
 
-// Load returns the work under way.
+// Load returns the count.
 func (c *Counter) Load() int64 { return c.n.Load() }
 
-// Go runs f as one piece of work in a goroutine of its own.
+// Go runs f in a goroutine that is counted until f returns.
 func (c *Counter) Go(f func()) {
 	c.Add()
 	go func() {
@@ -33,14 +34,15 @@
 	}()
 }
 
-// Wait returns once no work is under way, DeadlineExceeded when ctx ends first; where names the work.
+// Wait returns once the count is 0, or DeadlineExceeded when ctx ends first; where names what is counted, for the
+// error.
 func (c *Counter) Wait(ctx context.Context, where string) error {
-	tick := time.NewTicker(lookEvery)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for c.Load() > 0 {
 		select {
 		case <-ctx.Done():
-			return fault.Wrap(ctx.Err(), fault.DeadlineExceeded, where, "work under way was cut")
+			return fault.Wrap(ctx.Err(), fault.DeadlineExceeded, where, "still in flight when the wait ended")
 		case <-tick.C:
 		}
 	}
--- a/inflight/doc.go
+++ b/inflight/doc.go
@@ -1,2 +1,2 @@
-// Package inflight counts work under way, so that a planned stop can wait for it.
+// Package inflight counts in-flight requests and background tasks, so that a planned stop can wait for them.
 package inflight
--- a/inflight/requests.go
+++ b/inflight/requests.go
@@ -2,68 +2,69 @@
 
 import "sync"
 
-// Work is what endpoints beside a node have under way, as far as it matters to a call that they may have made.
+// Snapshot describes the in-flight requests of the endpoints beside a node. An ingress uses it to tell whether a call
+// that one of these endpoints makes belongs to a retry.
 type Snapshot struct {
-	// All counts the work under way.
+	// Total is the number of all in-flight requests.
 	Total int
-	// Known is set when some of it is for the request that was asked for; the rest tells of that work alone then.
+	// ForRequest is set when some of them carry the request ID that was asked for; RetryShare then covers only those.
 	ForRequest bool
-	// OfRepeat is the share of the work that are further sends.
+	// RetryShare is the share of retries among them.
 	RetryShare float64
 }
 
-// sends counts first and further sends under way.
-type sends struct{ first, further int }
+// sends counts in-flight requests: first attempts and retries.
+type sends struct{ first, retries int }
 
-// with returns the counts with so many more sends of a kind.
-func (s sends) with(repeat bool, n int) sends {
-	if repeat {
-		s.further += n
+// plus returns the counts with n more first attempts or retries.
+func (s sends) plus(retry bool, n int) sends {
+	if retry {
+		s.retries += n
 	} else {
 		s.first += n
 	}
 	return s
 }
 
-func (s sends) all() int { return s.first + s.further }
+func (s sends) total() int { return s.first + s.retries }
 
-// ofRepeat is the share of further sends.
-func (s sends) ofRepeat() float64 { return float64(s.further) / float64(max(s.all(), 1)) }
+// retryShare is the share of retries.
+func (s sends) retryShare() float64 { return float64(s.retries) / float64(max(s.total(), 1)) }
 
-// Requests counts the work under way, in all and by request; it is safe for concurrent use.
+// Requests counts in-flight requests, in total and by request ID; it is safe for concurrent use.
 type Requests struct {
 	mu        sync.Mutex
 	total     sends
 	byRequest map[string]sends
 }
 
-// Begin notes a send for a request that is handed over.
-func (w *Requests) Begin(request string, repeat bool) { w.add(request, repeat, 1) }
+// Begin counts a request that is dispatched to an endpoint; retry is true unless it is the first attempt.
+func (r *Requests) Begin(request string, retry bool) { r.add(request, retry, 1) }
 
-// End notes that a send has ended.
-func (w *Requests) End(request string, repeat bool) { w.add(request, repeat, -1) }
+// End counts a request that has ended.
+func (r *Requests) End(request string, retry bool) { r.add(request, retry, -1) }
 
-func (w *Requests) add(request string, repeat bool, n int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.total = w.total.with(repeat, n)
-	left := w.byRequest[request].with(repeat, n)
-	if left.all() == 0 {
-		delete(w.byRequest, request)
+func (r *Requests) add(request string, retry bool, n int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.total = r.total.plus(retry, n)
+	left := r.byRequest[request].plus(retry, n)
+	if left.total() == 0 {
+		delete(r.byRequest, request)
 		return
 	}
-	if w.byRequest == nil {
-		w.byRequest = make(map[string]sends)
+	if r.byRequest == nil {
+		r.byRequest = make(map[string]sends)
 	}
-	w.byRequest[request] = left
+	r.byRequest[request] = left
 }
 
-// Of tells of the work under way, and of that for a request.
-func (w *Requests) Snapshot(request string) Snapshot {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if own, ok := w.byRequest[request]; ok && request != "" {
-		return Snapshot{Total: w.total.all(), ForRequest: true, RetryShare: own.ofRepeat()}
+// Snapshot returns the in-flight requests, and those with a request ID if there are any.
+func (r *Requests) Snapshot(request string) Snapshot {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if same, ok := r.byRequest[request]; ok && request != "" {
+		return Snapshot{Total: r.total.total(), ForRequest: true, RetryShare: same.retryShare()}
 	}
-	return Snapshot{Total: w.total.all(), RetryShare: w.total.ofRepeat()}
+	return Snapshot{Total: r.total.total(), RetryShare: r.total.retryShare()}
 }
