--- a/clock/clock.go
+++ b/clock/clock.go
@@ -6,40 +6,45 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock tells a time that only ever goes forward; its values can be compared with those of the same clock alone.
+// Clock returns a time that never goes backwards. Its values can only be compared with values of the same clock.
 type Clock func() time.Time
 
-// Boot is the time since the host was started, suspensions included, as a time after 1970 without a steady reading. It costs a system
-// call, 0.37 us (BenchmarkBoot), and so is asked only where a steady clock would be believed against time that goes on elsewhere.
+// Boot is the time since the host booted, including suspensions, as a time.Time after 1970 without a monotonic reading.
+// It costs a system call, 0.37 us (BenchmarkBoot), so use it only where the monotonic clock would be compared with time
+// that passes elsewhere.
 func Boot() time.Time {
 	var ts unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts) != nil {
-		// No kernel since 2.6.39 lacks it; the steady clock is right as long as nobody suspends the host.
+		// Every kernel since 2.6.39 has this clock. The monotonic clock is correct as long as the host isn't suspended.
 		return time.Now()
 	}
 	return time.Unix(ts.Unix())
 }
 
-// Since is the time since an earlier value of the clock.
+// Since returns the time since an earlier value of the clock.
 func (c Clock) Since(t time.Time) time.Duration { return c().Sub(t) }
 
-// jitter is by how much two readings of one moment may differ, because a thread is interrupted between them.
-const jitter = 2 * time.Millisecond
+// maxReadSkew is by how much two clocks read one after the other may differ because the thread is interrupted between
+// the reads.
+const maxReadSkew = 2 * time.Millisecond
 
-// Stopwatch tells how long the host was suspended since it was begun: timers and deadlines do not count that time.
+// Stopwatch measures how long the host has been suspended since the stopwatch was started; timers and deadlines don't
+// count that time.
 type Stopwatch struct {
-	clock       Clock
-	boot, began time.Time
+	clock                     Clock
+	bootStart, monotonicStart time.Time
 }
 
-// Begin begins a stopwatch.
-func (c Clock) StartStopwatch() Stopwatch { return Stopwatch{clock: c, boot: c(), began: time.Now()} }
+// StartStopwatch starts a stopwatch.
+func (c Clock) StartStopwatch() Stopwatch {
+	return Stopwatch{clock: c, bootStart: c(), monotonicStart: time.Now()}
+}
 
-// Suspended returns how long the host was suspended, 0 for less than a few milliseconds.
+// Suspended returns how long the host was suspended, 0 if that is less than maxReadSkew.
 func (s Stopwatch) Suspended() time.Duration {
-	lost := s.clock.Since(s.boot) - time.Since(s.began)
-	if lost < jitter {
+	suspended := s.clock.Since(s.bootStart) - time.Since(s.monotonicStart)
+	if suspended < maxReadSkew {
 		return 0
 	}
-	return lost
+	return suspended
 }
--- a/clock/doc.go
+++ b/clock/doc.go
@@ -1,3 +1,3 @@
-// Package clock tells the time that goes on for everybody else: the steady clock of a host stands still while the host is suspended, and
-// what one node lends another, or believes of it, ends all the same.
+// Package clock provides a clock that keeps running while the host is suspended. The monotonic clock of a host stops
+// meanwhile, but what one node grants to another or has learned of it expires all the same.
 package clock
