--- a/coldstart/bound.go
+++ b/coldstart/bound.go
@@ -6,41 +6,44 @@
 	"github.com/lynxplank/lynxplank/quota"
 )
 
-// Bound is what a cold endpoint bears: in no second more than Rate times Over and Slack requests. Rate 0 stands for no bound.
+// Bound is the load that a cold endpoint can take: in any second at most Rate*RateFactor+Slack requests. Rate 0 means
+// unlimited.
 type Bound struct {
-	// Rate is how many requests a second it bears for long.
+	// Rate is how many requests a second it can sustain.
 	Rate float64
-	// Over and Slack are how far beyond that one second may go.
+	// RateFactor and Slack are how far a single second may exceed Rate.
 	RateFactor, Slack float64
 }
 
-// Within returns the most requests in one second.
+// MaxPerSecond returns the maximum number of requests in one second.
 func (b Bound) MaxPerSecond() float64 { return b.Rate*b.RateFactor + b.Slack }
 
 const (
-	// SendWithin is how long after its admission a request may be sent: a slot is held as long for a sender that does not answer.
+	// MaxSendDelay is how long after its admission a request may be sent: a slot is held that long for a sender that
+	// doesn't respond.
 	MaxSendDelay = 200 * time.Millisecond
-	// leastBurst is what a bucket saves up at least.
-	leastBurst = 2
+	// minBurst is the minimum burst of a limit.
+	minBurst = 2
 	// second is the window of the bound.
 	second = time.Second
 )
 
-// doubtful is the limit of an endpoint that may be cold: all that the bound allows.
+// possiblyColdLimit is the limit of an endpoint that may be cold: all that the bound allows.
 //
-// Invariant: what is sent in a second was admitted in that second or SendWithin before it, and the limit lets no more than Within pass in
-// so long a time.
-func (b Bound) doubtful() quota.Limit {
-	burst := max(leastBurst, min(b.Slack, b.MaxPerSecond()/2))
+// Invariant: what is sent in a second was admitted in that second or at most MaxSendDelay before it, and the limit
+// admits at most MaxPerSecond requests in that time.
+func (b Bound) possiblyColdLimit() quota.Limit {
+	burst := max(minBurst, min(b.Slack, b.MaxPerSecond()/2))
 	window := (second + MaxSendDelay).Seconds()
 	return quota.Limit{Rate: max(0, (b.MaxPerSecond()-burst)/window), Burst: burst}
 }
 
-// cold is the limit of an endpoint that says that it is cold: what it bears for long, so that it gets warm and does not fall over.
-func (b Bound) cold() quota.Limit {
-	l := b.doubtful()
-	return quota.Limit{Rate: min(l.Rate, b.Rate), Burst: max(leastBurst, min(l.Burst, b.Rate/burstPart))}
+// coldLimit is the limit of an endpoint that reports being cold: the load that it can sustain, so that it warms up
+// without overload.
+func (b Bound) coldLimit() quota.Limit {
+	l := b.possiblyColdLimit()
+	return quota.Limit{Rate: min(l.Rate, b.Rate), Burst: max(minBurst, min(l.Burst, b.Rate/coldBurstDivisor))}
 }
 
-// burstPart is the part of what a cold endpoint bears in a second that may come at once, as one in so many.
-const burstPart = 3
+// coldBurstDivisor sets the burst of a cold endpoint: at most Rate/coldBurstDivisor requests may come at once.
+const coldBurstDivisor = 3
--- a/coldstart/doc.go
+++ b/coldstart/doc.go
@@ -1,3 +1,4 @@
-// Package coldstart keeps an endpoint that is cold, or may be, to what it bears, whatever those who send to it believe. It stands at
-// the one door through which all of the endpoint's work goes.
+// Package coldstart limits the requests to an endpoint that is cold, or possibly cold, to what it can serve, whatever
+// their senders know of it. Its limiter runs on the node beside the endpoint, through which all of the endpoint's
+// requests go.
 package coldstart
--- a/coldstart/limiter.go
+++ b/coldstart/limiter.go
@@ -6,79 +6,82 @@
 	"github.com/lynxplank/lynxplank/quota"
 )
 
-// WordLife is how long an endpoint's word that it is warm is believed: two of its heartbeats may be lost.
+// ReportLifetime is how long an endpoint's report that it is warm counts: two of its heartbeats may be lost.
 const ReportLifetime = 5 * time.Second
 
-// Door admits the requests of one endpoint; its owner locks it.
+// Limiter admits the requests of one endpoint. It is not safe for concurrent use; its owner must hold a lock.
 //
-// An endpoint that says that it is cold gets what it bears for long. One that has said nothing for a while, or whose hall was evacuated
-// since, may be cold, and gets what the bound allows. One that says that it is warm gets everything.
+// An endpoint that reports being cold gets the load that it can sustain. One that has not reported for ReportLifetime,
+// or not since its hall was evacuated, is possibly cold and gets what the bound allows. One that reports being warm
+// gets every request.
 //
-// Invariant: in no second are more than the bound's Within requests sent that were admitted while the endpoint said that it was cold, or
-// while it was in doubt; a new door has nothing saved, so that this holds over the restart of its node.
+// Invariant: in no second are more than MaxPerSecond requests sent that were admitted while the endpoint reported being
+// cold or was possibly cold. A new limiter has an empty bucket, so this also holds across a restart of its node.
 type Limiter struct {
 	bound  Bound
 	bucket *quota.Bucket
-	// toldAt is when the endpoint last gave its word, coldUntil how long it is cold by that, doubtAt what its word must be later than.
-	toldAt, coldUntil, doubtAt time.Time
+	// reportedAt is when the endpoint last reported, coldUntil the end of the cold phase by that report. Reports from
+	// before possiblyColdAt don't count.
+	reportedAt, coldUntil, possiblyColdAt time.Time
 }
 
-// NewDoor returns the door of an endpoint of which no word is known yet.
+// NewLimiter returns the limiter of an endpoint that has not reported yet.
 func NewLimiter(now time.Time, b Bound) *Limiter {
-	return &Limiter{bound: b, bucket: quota.NewBucket(now, b.doubtful())}
+	return &Limiter{bound: b, bucket: quota.NewBucket(now, b.possiblyColdLimit())}
 }
 
-// SetBound changes what the endpoint bears from now on.
-func (d *Limiter) SetBound(now time.Time, b Bound) {
-	if b != d.bound {
-		d.bound = b
-		d.bucket.SetLimit(now, d.limit(now))
+// SetBound changes the load that the endpoint can take, from now on.
+func (l *Limiter) SetBound(now time.Time, b Bound) {
+	if b != l.bound {
+		l.bound = b
+		l.bucket.SetLimit(now, l.currentLimit(now))
 	}
 }
 
-// Told takes the endpoint's word of a time, until when it is cold.
-func (d *Limiter) Report(at, coldUntil time.Time) {
-	if at.After(d.toldAt) {
-		d.toldAt, d.coldUntil = at, coldUntil
+// Report records the endpoint's report, made at a given time, that it is cold until coldUntil.
+func (l *Limiter) Report(at, coldUntil time.Time) {
+	if at.After(l.reportedAt) {
+		l.reportedAt, l.coldUntil = at, coldUntil
 	}
 }
 
-// Doubt takes it that the endpoint may have turned cold by now, whatever it has said before.
-func (d *Limiter) MarkPossiblyCold(now time.Time) { d.doubtAt = now }
+// MarkPossiblyCold records that the endpoint may have become cold by now, whatever it reported before.
+func (l *Limiter) MarkPossiblyCold(now time.Time) { l.possiblyColdAt = now }
 
-// Cold returns how much longer the endpoint is cold by its own word.
-func (d *Limiter) ColdRemaining(now time.Time) time.Duration { return max(0, d.coldUntil.Sub(now)) }
+// ColdRemaining returns how much longer the endpoint is cold by its own report.
+func (l *Limiter) ColdRemaining(now time.Time) time.Duration { return max(0, l.coldUntil.Sub(now)) }
 
-// Doubtful tells whether the endpoint may be cold without saying so.
-func (d *Limiter) PossiblyCold(now time.Time) bool {
-	return !d.toldAt.After(d.doubtAt) || now.Sub(d.toldAt) > ReportLifetime
+// PossiblyCold reports whether the endpoint may be cold without having reported it: its last report is older than
+// ReportLifetime or not newer than MarkPossiblyCold.
+func (l *Limiter) PossiblyCold(now time.Time) bool {
+	return !l.reportedAt.After(l.possiblyColdAt) || now.Sub(l.reportedAt) > ReportLifetime
 }
 
-// limit is what the endpoint gets now if it is not known to be warm.
-func (d *Limiter) limit(now time.Time) quota.Limit {
-	if d.ColdRemaining(now) > 0 {
-		return d.bound.cold()
+// currentLimit returns the limit that applies now unless the endpoint is known to be warm.
+func (l *Limiter) currentLimit(now time.Time) quota.Limit {
+	if l.ColdRemaining(now) > 0 {
+		return l.bound.coldLimit()
 	}
-	return d.bound.doubtful()
+	return l.bound.possiblyColdLimit()
 }
 
-// Admit lets one request pass, to be sent within SendWithin, else tells when to come back.
-func (d *Limiter) Admit(now time.Time) (ok bool, wait time.Duration) {
-	if d.bound.Rate == 0 {
+// Admit admits one request, to be sent within MaxSendDelay, or returns the time after which to retry.
+func (l *Limiter) Admit(now time.Time) (ok bool, wait time.Duration) {
+	if l.bound.Rate == 0 {
 		return true, 0
 	}
-	d.bucket.SetLimit(now, d.limit(now))
-	admitted := d.bucket.Take(now, 1) == 1
-	// One that is warm takes from what is saved too: it may turn cold the next moment.
-	if admitted || d.ColdRemaining(now) == 0 && !d.PossiblyCold(now) {
+	l.bucket.SetLimit(now, l.currentLimit(now))
+	admitted := l.bucket.Take(now, 1) == 1
+	// A request to a warm endpoint takes a token too: the endpoint may become cold the next moment.
+	if admitted || l.ColdRemaining(now) == 0 && !l.PossiblyCold(now) {
 		return true, 0
 	}
-	return false, d.bucket.Wait(now)
+	return false, l.bucket.Wait(now)
 }
 
-// Return takes back the admission of a request that is not sent.
-func (d *Limiter) Refund(now time.Time) {
-	if d.bound.Rate > 0 {
-		d.bucket.Return(now)
+// Refund takes back the admission of a request that is not sent.
+func (l *Limiter) Refund(now time.Time) {
+	if l.bound.Rate > 0 {
+		l.bucket.Return(now)
 	}
 }
