--- a/memory/budget.go
+++ b/memory/budget.go
@@ -2,53 +2,53 @@
 
 import "sync"
 
-// Budget is how many bytes a node may hold; it is safe for concurrent use.
+// Budget is the number of bytes that a node may hold; it is safe for concurrent use.
 //
-// A customer may hold as much as is left free: one alone half of it all, two a third each, so that whoever comes next finds room, without
-// anybody being counted.
+// A customer may hold as many bytes as are left free: a single customer half of the budget, two a third each. So there
+// is always space for another customer, and customers needn't be counted.
 //
-// Invariant: no more than its size is held.
+// Invariant: the bytes held never exceed the size.
 type Budget struct {
 	size int64
 
 	mu   sync.Mutex
 	used int64
-	// most is the highest use so far, refused counts what found no room.
-	most    int64
+	// peak is the highest use so far, refused counts the reservations that did not fit.
+	peak    int64
 	refused uint64
-	// held is what each customer holds.
+	// held is how many bytes each customer holds.
 	held map[string]int64
-	// freed is closed, and made anew, when something was given back.
-	freed chan struct{}
+	// released is closed, and replaced by a new channel, whenever bytes are released.
+	released chan struct{}
 }
 
-// New returns a budget of a size in bytes.
+// New returns a budget of size bytes.
 func New(size int64) *Budget {
-	return &Budget{size: size, held: make(map[string]int64), freed: make(chan struct{})}
+	return &Budget{size: size, held: make(map[string]int64), released: make(chan struct{})}
 }
 
-// Use is how a budget stands.
+// Usage is the state of a budget.
 type Usage struct {
-	// Size, Used and Most are bytes: all there are, those held now, and the most so far.
+	// Size, Used and Peak are bytes: the size of the budget, those held now, and the most held at any time so far.
 	Size, Used, Peak int64
-	// Refused counts what found no room.
+	// Refused counts the reservations that did not fit.
 	Refused uint64
 }
 
-// Use returns how the budget stands.
+// Usage returns the state of the budget.
 func (b *Budget) Usage() Usage {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return Usage{Size: b.size, Used: b.used, Peak: b.most, Refused: b.refused}
+	return Usage{Size: b.size, Used: b.used, Peak: b.peak, Refused: b.refused}
 }
 
-// Hold returns a holding of a customer, which is empty.
+// NewReservation returns an empty reservation for a customer.
 func (b *Budget) NewReservation(customer string) *Reservation {
 	return &Reservation{budget: b, customer: customer}
 }
 
-// take takes bytes for a customer; false when there is no room for them.
-func (b *Budget) take(customer string, n int64) bool {
+// reserve takes n bytes for a customer; false if they don't fit.
+func (b *Budget) reserve(customer string, n int64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	held := b.held[customer]
@@ -58,11 +58,11 @@
 	}
 	b.used += n
 	b.held[customer] = held + n
-	b.most = max(b.most, b.used)
+	b.peak = max(b.peak, b.used)
 	return true
 }
 
-func (b *Budget) give(customer string, n int64) {
+func (b *Budget) release(customer string, n int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.used -= n
@@ -70,72 +70,73 @@
 	if b.held[customer] == 0 {
 		delete(b.held, customer)
 	}
-	close(b.freed)
-	b.freed = make(chan struct{})
+	close(b.released)
+	b.released = make(chan struct{})
 }
 
-// Freed returns a channel that is closed when something is given back.
+// Released returns a channel that is closed when bytes are released.
 func (b *Budget) Released() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.freed
+	return b.released
 }
 
-// Hold is what one exchange holds of a budget; it is safe for concurrent use. A nil holding takes and bounds nothing.
+// Reservation is the bytes that one exchange holds of a budget; it is safe for concurrent use. A nil reservation holds
+// nothing and refuses nothing.
 type Reservation struct {
 	budget   *Budget
 	customer string
 
-	mu    sync.Mutex
-	bytes int64
-	freed bool
+	mu     sync.Mutex
+	bytes  int64
+	closed bool
 }
 
-// Grow takes so many bytes more; false when there is no room for them, or all was given back.
-func (h *Reservation) Grow(n int) bool {
-	if h == nil {
+// Grow takes n more bytes; false if they don't fit, or if Release was called.
+func (r *Reservation) Grow(n int) bool {
+	if r == nil {
 		return true
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.freed || !h.budget.take(h.customer, int64(n)) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.closed || !r.budget.reserve(r.customer, int64(n)) {
 		return false
 	}
-	h.bytes += int64(n)
+	r.bytes += int64(n)
 	return true
 }
 
-// Shrink gives so many bytes back, no more than are held.
-func (h *Reservation) Shrink(n int) {
-	if h == nil {
+// Shrink releases n bytes, at most those held.
+func (r *Reservation) Shrink(n int) {
+	if r == nil {
 		return
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	give := min(int64(n), h.bytes)
-	if give == 0 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	released := min(int64(n), r.bytes)
+	if released == 0 {
 		return
 	}
-	h.bytes -= give
-	h.budget.give(h.customer, give)
+	r.bytes -= released
+	r.budget.release(r.customer, released)
 }
 
-// Free gives all back for good.
-func (h *Reservation) Release() {
-	if h == nil {
+// Release releases all bytes for good: a later Grow fails.
+func (r *Reservation) Release() {
+	if r == nil {
 		return
 	}
-	h.mu.Lock()
-	bytes := h.bytes
-	h.freed = true
-	h.mu.Unlock()
-	h.Shrink(int(bytes))
+	r.mu.Lock()
+	bytes := r.bytes
+	r.closed = true
+	r.mu.Unlock()
+	r.Shrink(int(bytes))
 }
 
-// Freed returns a channel that is closed when something of the budget is given back.
-func (h *Reservation) Released() <-chan struct{} {
-	if h == nil {
+// Released returns a channel that is closed when bytes of the budget are released.
+func (r *Reservation) Released() <-chan struct{} {
+	if r == nil {
 		return nil
 	}
-	return h.budget.Released()
+	return r.budget.Released()
 }
--- a/memory/doc.go
+++ b/memory/doc.go
@@ -1,3 +1,3 @@
-// Package memory shares what a node may hold for those who are slow to read or to send: one budget of bytes over all of its exchanges,
-// fair among customers.
+// Package memory bounds the bytes that a node holds for slow readers and senders: one budget for all of its exchanges,
+// divided fairly among customers.
 package memory
--- a/memory/socket.go
+++ b/memory/socket.go
@@ -2,11 +2,12 @@
 
 import "net"
 
-// SocketBytes is what the system may hold of a connection each way, in bytes, unread and unsent: at 3 ms to the other side it lets 20 MB a
-// second pass. By itself it grows to megabytes a connection, beside every budget.
+// SocketBufferBytes is the size of a connection's receive and send buffers in the kernel. With 3 ms to the peer it
+// allows 20 MB a second. By default the kernel grows them to megabytes a connection, which no budget would count.
 const SocketBufferBytes = 64 << 10
 
-// BoundSocket has the system hold no more than SocketBytes of a connection each way; where it cannot, the connection works all the same.
+// LimitSocketBuffers limits the kernel's buffers of a connection to SocketBufferBytes each way. Errors are ignored: the
+// connection works without the limit.
 func LimitSocketBuffers(c net.Conn) {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
