--- a/admission/queue.go
+++ b/admission/queue.go
@@ -186,14 +186,14 @@
 	for _, w := range q.queue {
 		held[w.Customer] += 1 / w.Weight
 	}
-	mine := held[r.Customer] + 1/r.Weight
-	worst, most := -1, mine
+	ownHeld := held[r.Customer] + 1/r.Weight
+	index, maxHeld := -1, ownHeld
 	for i, w := range q.queue {
-		if h := held[w.Customer]; w.Customer != r.Customer && w.Priority == r.Priority && h >= most && h > mine {
-			worst, most = i, h
+		if h := held[w.Customer]; w.Customer != r.Customer && w.Priority == r.Priority && h >= maxHeld && h > ownHeld {
+			index, maxHeld = i, h
 		}
 	}
-	return worst, worst >= 0
+	return index, index >= 0
 }
 
 // canFinishInTime reports whether a request at an index of the queue can finish before latestAnswer.
@@ -236,6 +236,7 @@
 // typicalSeconds is TypicalServiceTime in seconds.
 func (q *Queue) typicalSeconds() float64 { return q.meanServiceTime + q.serviceDeviation }
 
+// refuse returns the decision that refuses a request.
 func (q *Queue) refuse(id uint64, code fault.Code) Decision {
 	return Decision{ID: id, Action: Refuse, Code: code, RetryAfter: q.RetryAfter()}
 }
--- a/breaker/breaker.go
+++ b/breaker/breaker.go
@@ -7,15 +7,15 @@
 
 // Config is the policy of one breaker.
 type Config struct {
-	// Broken is an answer that broke off or could not be read.
+	// BrokenWeight is how much an answer that broke off adds to the failure score, FailedWeight how much a complete
+	// answer that reports a failure adds. A breaker opens when the score reaches openScore.
 	BrokenWeight, FailedWeight float64
 	// ScoreHalfLife is the time in which the failure score halves.
 	ScoreHalfLife time.Duration
 	// InitialOutage is how long an outage of the endpoint is expected to last before any was seen. The expected length
 	// is then learned for each endpoint, between MinOutage and MaxOutage.
 	InitialOutage, MinOutage, MaxOutage time.Duration
-	// Trial (half-open) takes one trial request at a time: a repeatable one, or a non-repeatable one once an outage of
-	// the expected length is probably over.
+	// TrialInterval is the minimum time between two trials; it doubles with each failed trial, up to MaxTrialInterval.
 	TrialInterval, MaxTrialInterval time.Duration
 	// RequiredSuccesses is how many successful trials in a row close a breaker that has opened once. One more is
 	// required for each further opening within OpeningWindow, up to MaxRequiredSuccesses.
@@ -73,7 +73,8 @@
 const (
 	// Closed takes every request.
 	Closed State = iota
-	// Trial takes one repeatable request at a time.
+	// Trial (half-open) takes one trial request at a time: a repeatable one, or a non-repeatable one once an outage of
+	// the expected length is probably over.
 	Trial
 )
 
@@ -159,6 +160,7 @@
 	}
 }
 
+// close makes the breaker take every request.
 func (b *Breaker) close(now time.Time) {
 	b.state = Closed
 	b.score = 0
--- a/dedupe/store.go
+++ b/dedupe/store.go
@@ -48,16 +48,24 @@
 	Stored bool
 }
 
+// status is the state of a key's last claim.
 type status uint8
 
 const (
+	// running means that a granted request has not reported its end.
 	running status = iota
+	// ran means that a granted request ran; later claims get its answer.
 	ran
+	// unknown means that it can't be known whether the last granted request ran.
 	unknown
+	// released means that the last granted request did not run; the key may be granted again.
 	released
+	// fenced means that no run is known and that a late first attempt is refused.
 	fenced
 )
 
+// record is what the store knows of one key: its status since the time at, and until when a running request counts as
+// running.
 type record struct {
 	status      status
 	fingerprint uint64
--- a/keyowner/owners.go
+++ b/keyowner/owners.go
@@ -48,6 +48,7 @@
 	return owners
 }
 
+// rank is the rendezvous hash of an endpoint and a key; the highest rank owns the key.
 func rank(name string, id dedupe.ID) uint64 {
 	d := xxhash.New()
 	for _, part := range []string{name, id.Scope, id.Key} {
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -144,8 +144,8 @@
 }
 
 // Restore adds an endpoint that an earlier run of this node had announced, after the endpoint has just confirmed that
-// it is still the same incarnation and not draining; cold is how much longer it remains cold. It does nothing if any
-// endpoint has sent a heartbeat to this run, or if this incarnation has ended.
+// it is still the same incarnation and not draining; cold is how much longer it remains cold. It does nothing if this
+// run already knows an endpoint, or if this incarnation has ended.
 func (r *Registry) Restore(a table.Announced, cold time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -41,7 +41,7 @@
 	// windowSlices is the number of slices of a window by which requests are counted.
 	windowSlices = 20
 	// savedShare is the share of a window's retries that can be saved up; the rest must be spent within the window that
-	// earns it. On two deployments 0.5 was worth 0.01 less and 0.15 was worth the same.
+	// earns it. On two deployments 0.5 scored 0.01 lower, and 0.15 scored the same.
 	savedShare = 0.25
 )
 
