--- a/bench/hanging.go
+++ b/bench/hanging.go
@@ -74,23 +74,23 @@
 // byWork judges by the work under way, as the nodes do.
 type byWork struct {
 	watch breaker.InflightMonitor
-	times *latency.Kinds
+	times *latency.Models
 }
 
-func newByWork() judge { return &byWork{times: latency.NewKinds()} }
+func newByWork() judge { return &byWork{times: latency.NewModels()} }
 
 func (j *byWork) begin(now time.Time, id uint64, w breaker.RequestClass) { j.watch.Begin(now, id, w) }
 
 func (j *byWork) end(now time.Time, id uint64, w breaker.RequestClass, took time.Duration, answered bool) {
 	j.watch.End(now, id, answered)
 	if answered {
-		j.times.Note(w.Kind, took)
+		j.times.Observe(w.Kind, took)
 	}
 }
 
 func (j *byWork) hangs(now time.Time) bool {
 	return j.watch.Score(now, func(w breaker.RequestClass, age time.Duration) float64 {
-		return j.times.Of(w.Kind, w.UsualTime).Survival(age)
+		return j.times.For(w.Kind, w.UsualTime).Survival(age)
 	}) >= suspectScore
 }
 
--- a/coldstart/limiter.go
+++ b/coldstart/limiter.go
@@ -76,7 +76,7 @@
 	if admitted || l.ColdRemaining(now) == 0 && !l.PossiblyCold(now) {
 		return true, 0
 	}
-	return false, l.bucket.Wait(now)
+	return false, l.bucket.RetryDelay(now)
 }
 
 // Refund takes back the admission of a request that is not sent.
--- a/egress/find.go
+++ b/egress/find.go
@@ -20,7 +20,7 @@
 		return nil, peer.NotRun(fault.Draining, drainRetryAfter)
 	}
 	// Whoever sent it may not have heard yet.
-	if e.endings.Ends(contentOf(d)) >= poison.BarAfter {
+	if e.endings.Ends(contentOf(d)) >= poison.BlockThreshold {
 		return nil, peer.NotRun(fault.FatalRequest, 0)
 	}
 	if e.configs.stale(e.state(), d) {
@@ -54,7 +54,7 @@
 // Invariant: whatever its sender believes, the body of a request is asked for, and handed to an endpoint, only where its data may be.
 func (e *Egress) mayBeHere(d *peerpb.Dispatch) bool {
 	regions := e.regionsOf(d)
-	if !regions.Bound() {
+	if !regions.IsRestricted() {
 		return true
 	}
 	where := e.region.Load()
--- a/egress/keys.go
+++ b/egress/keys.go
@@ -42,7 +42,7 @@
 
 // within returns the endpoints in regions where a key's data may be.
 func (l keyList) within(regions region.Set) []string {
-	if !regions.Bound() {
+	if !regions.IsRestricted() {
 		return l.endpoints
 	}
 	return slices.DeleteFunc(slices.Clone(l.endpoints), func(name string) bool { return !regions.Allows(l.regions[name]) })
@@ -145,7 +145,7 @@
 
 // sameRegions tells whether a claim goes by the regions that this node knows of: by others its key has other homes.
 func sameRegions(c *peerpb.Claim, regions region.Set) bool {
-	return c.GetBound() == regions.Bound() && slices.Equal(c.GetRegions(), regions.Names())
+	return c.GetBound() == regions.IsRestricted() && slices.Equal(c.GetRegions(), regions.Names())
 }
 
 func (k *keys) settle(now time.Time, scope, key string, outcome peerpb.Outcome, a dedupe.Answer) {
--- a/egress/look_test.go
+++ b/egress/look_test.go
@@ -17,7 +17,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		start := time.Unix(1000, 0)
-		l := &local{breaker: breaker.New(breaker.DefaultConfig()), times: latency.NewKinds()}
+		l := &local{breaker: breaker.New(breaker.DefaultConfig()), times: latency.NewModels()}
 		usual := time.Duration(rapid.IntRange(20, 600).Draw(t, "usual ms")) * time.Millisecond
 		for id := range uint64(rapid.IntRange(1, 10).Draw(t, "pieces")) {
 			begun := start.Add(-time.Duration(random.Int64N(int64(usual))))
--- a/egress/silence.go
+++ b/egress/silence.go
@@ -101,7 +101,7 @@
 
 // survival tells how much of a kind's ordinary work takes longer than an age; the lock is held.
 func (l *local) survival(w breaker.RequestClass, age time.Duration) float64 {
-	return l.times.Of(w.Kind, w.UsualTime).Survival(age)
+	return l.times.For(w.Kind, w.UsualTime).Survival(age)
 }
 
 // budgetPart is the part of its time that work usually takes where nobody knows better, as one in so many: callers allow
@@ -166,7 +166,7 @@
 		return
 	}
 	if how == breaker.OK {
-		l.times.Note(d.GetRoute(), service)
+		l.times.Observe(d.GetRoute(), service)
 	}
 	if d.GetLastResort() && !trial {
 		l.breaker.ReportLastResort(how)
--- a/ingress/stop_test.go
+++ b/ingress/stop_test.go
@@ -106,7 +106,7 @@
 		r := httptest.NewRequest(strings.ToUpper(d.Cmd), "http://desk.example/x", nil)
 		r.RequestURI = "/x"
 		if d.HasArg("after") {
-			g.HandOverUntil(time.Now())
+			g.StopDispatchBefore(time.Now())
 		}
 		done := make(chan struct{})
 		go func() {
@@ -116,7 +116,7 @@
 		for range words {
 			<-local.begun
 		}
-		g.HandOverUntil(time.Now())
+		g.StopDispatchBefore(time.Now())
 		close(local.closed)
 		select {
 		case <-done:
--- a/virtual/sends.go
+++ b/virtual/sends.go
@@ -46,8 +46,8 @@
 	q.sends++
 	if r.measured() {
 		r.result.Sends++
-		if r.hit(i) && i == 0 && r.result.Detected < 0 {
-			r.result.Begun++
+		if r.hit(i) && i == 0 && r.result.DetectionTime < 0 {
+			r.result.RequestsUntilDetection++
 		}
 	}
 	r.nextID++
@@ -96,7 +96,7 @@
 	work := r.work(s.endpoint)
 	left := s.request.arrived.Add(deadline).Sub(r.clock.now)
 	failed := r.fails(s.endpoint)
-	if late := r.policy.Late(); late > 0 && late < work {
+	if late := r.policy.OverdueAfter(); late > 0 && late < work {
 		r.clock.after(late, func() { r.overdue(s) })
 	}
 	lost := r.Fault.Cut && r.faulty(s.endpoint)
@@ -132,7 +132,7 @@
 func (r *run) overdue(s *send) {
 	if !s.over && !s.late {
 		s.late = true
-		r.policy.Overdue(r.clock.now, s.endpoint)
+		r.policy.ObserveOverdue(r.clock.now, s.endpoint)
 		r.watch()
 	}
 }
