--- a/coldstart/door.go
+++ b/coldstart/door.go
@@ -73,7 +73,7 @@
 	if admitted || d.Cold(now) == 0 && !d.Doubtful(now) {
 		return true, 0
 	}
-	return false, d.bucket.Wait(now)
+	return false, d.bucket.RetryDelay(now)
 }
 
 // Return takes back the admission of a request that is not sent.
--- a/configsync/read.go
+++ b/configsync/read.go
@@ -143,7 +143,7 @@
 		switch {
 		case strings.HasPrefix(rec.Key, HostPrefix):
 			r.noteHost(rec)
-		case strings.HasPrefix(rec.Key, poison.Prefix):
+		case strings.HasPrefix(rec.Key, poison.KeyPrefix):
 			fatals = append(fatals, rec)
 		default:
 			rows = true
@@ -184,7 +184,7 @@
 		}
 		return
 	}
-	r.f.leftOut.Understood(skipped.Records, rec.Key)
+	r.f.leftOut.Decoded(skipped.Records, rec.Key)
 	h.Version = rec.Version
 	r.hosts[id] = h
 }
--- a/egress/egress.go
+++ b/egress/egress.go
@@ -96,24 +96,24 @@
 // Endings gathers what is known of requests under which endpoints ended.
 type Endings interface {
 	// Ends returns how many endpoints ended under a content.
-	Ends(c poison.Content) int
+	Ends(c poison.Fingerprint) int
 	// Ran notes that an endpoint ran a content to a good end.
-	Ran(c poison.Content)
+	Ran(c poison.Fingerprint)
 	// EndedHere takes it that an endpoint ended while it ran some contents.
-	EndedHere(endpoint, service string, contents []poison.Content)
+	EndedHere(endpoint, service string, contents []poison.Fingerprint)
 }
 
 // noEndings gathers nothing.
 type noEndings struct{}
 
 // Ends implements Endings.
-func (noEndings) Ends(poison.Content) int { return 0 }
+func (noEndings) Ends(poison.Fingerprint) int { return 0 }
 
 // Ran implements Endings.
-func (noEndings) Ran(poison.Content) {}
+func (noEndings) Ran(poison.Fingerprint) {}
 
 // EndedHere implements Endings.
-func (noEndings) EndedHere(string, string, []poison.Content) {}
+func (noEndings) EndedHere(string, string, []poison.Fingerprint) {}
 
 // WithEndings has the egress tell of endpoints that end, and refuse requests that end them.
 func WithEndings(g Endings) Option { return func(e *Egress) { e.endings = g } }
--- a/egress/find.go
+++ b/egress/find.go
@@ -20,7 +20,7 @@
 		return nil, peer.NotRun(fault.Draining, drainRetryAfter)
 	}
 	// Whoever sent it may not have heard yet.
-	if e.endings.Ends(contentOf(d)) >= poison.BarAfter {
+	if e.endings.Ends(contentOf(d)) >= poison.BlockThreshold {
 		return nil, peer.NotRun(fault.FatalRequest, 0)
 	}
 	if e.configs.stale(e.state(), d) {
--- a/ingress/call.go
+++ b/ingress/call.go
@@ -43,7 +43,7 @@
 	ofRepeat float64
 	timeout  time.Duration
 	// content is what the request asks for, the same whenever it comes again.
-	content  poison.Content
+	content  poison.Fingerprint
 	key      string
 	attempt  uint32
 	method   string
--- a/ingress/exchange.go
+++ b/ingress/exchange.go
@@ -70,7 +70,7 @@
 	sends int
 	// paid is set while the customer's limit has let a send pass that has reached no endpoint yet, pass is that.
 	paid     bool
-	pass     ratelimit.Pass
+	pass     ratelimit.Permit
 	progress progress
 	// closing closes progress when the node stops, nil before.
 	closing *time.Timer
@@ -381,12 +381,12 @@
 }
 
 // mostOwnEnds is how many endpoints may end at one request's own sends: with one more it would be barred before it comes again.
-const mostOwnEnds = poison.BarAfter - 1
+const mostOwnEnds = poison.BlockThreshold - 1
 
 // mayEnd tells whether a further send is not to be made because an endpoint has ended under the same request before, and one may have
 // had this one: with a second send each arrival of such a request ends two.
 func (x *exchange) mayEnd() bool {
-	return x.arrived && x.g.fatal.Ends(x.call.content) >= poison.SendOnce || x.ended >= mostOwnEnds
+	return x.arrived && x.g.fatal.Ends(x.call.content) >= poison.NoRetryThreshold || x.ended >= mostOwnEnds
 }
 
 // afterDeclined notes an endpoint that turned the request away before anything was sent, and tells whether to ask another.
--- a/ingress/hedge.go
+++ b/ingress/hedge.go
@@ -47,7 +47,7 @@
 	at     time.Duration
 	second bool
 	// pass is what the customer's limit has let pass for a second send.
-	pass   ratelimit.Pass
+	pass   ratelimit.Permit
 	cancel context.CancelFunc
 	end    *peerpb.End
 }
@@ -117,7 +117,7 @@
 func (h *hedge) startSecond(ctx context.Context) {
 	x := h.x
 	if x.sends+len(h.running)+len(h.done)+len(h.beaten) >= x.mostSends() || x.refusals.refusing() || !x.adopt() ||
-		x.progress.isClosed() || x.ended >= mostOwnEnds || x.g.fatal.Ends(x.call.content) >= poison.SendOnce {
+		x.progress.isClosed() || x.ended >= mostOwnEnds || x.g.fatal.Ends(x.call.content) >= poison.NoRetryThreshold {
 		return
 	}
 	if len(h.declined) >= mostSeconds {
--- a/ingress/hedge_test.go
+++ b/ingress/hedge_test.go
@@ -60,7 +60,7 @@
 type endsBefore int
 
 // Ends implements Fatal.
-func (n endsBefore) Ends(poison.Content) int { return int(n) }
+func (n endsBefore) Ends(poison.Fingerprint) int { return int(n) }
 
 func endName(end *peerpb.End) string {
 	return strings.TrimSpace(strings.ToLower(strings.TrimPrefix(end.GetOutcome().String(), "OUTCOME_")) + " " + end.GetCode())
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -79,15 +79,15 @@
 // Limits keeps customers to what they may send.
 type Limits interface {
 	// Take lets one send of a customer pass, else tells when one should.
-	Take(ctx context.Context, customer string) (ratelimit.Pass, time.Duration, bool)
+	Take(ctx context.Context, customer string) (ratelimit.Permit, time.Duration, bool)
 }
 
 // unlimited lets everything pass.
 type unlimited struct{}
 
 // Take implements Limits.
-func (unlimited) Take(context.Context, string) (ratelimit.Pass, time.Duration, bool) {
-	return ratelimit.Pass{}, 0, true
+func (unlimited) Take(context.Context, string) (ratelimit.Permit, time.Duration, bool) {
+	return ratelimit.Permit{}, 0, true
 }
 
 // WithLimits has customers kept to their limits.
@@ -96,14 +96,14 @@
 // Fatal tells what is known of requests under which endpoints ended.
 type Fatal interface {
 	// Ends returns how many endpoints ended under a content.
-	Ends(c poison.Content) int
+	Ends(c poison.Fingerprint) int
 }
 
 // harmless knows of no such request.
 type harmless struct{}
 
 // Ends implements Fatal.
-func (harmless) Ends(poison.Content) int { return 0 }
+func (harmless) Ends(poison.Fingerprint) int { return 0 }
 
 // WithFatal has requests that end endpoints refused.
 func WithFatal(f Fatal) Option { return func(g *Ingress) { g.fatal = f } }
@@ -230,8 +230,8 @@
 		g.refuseEarly(w, r, c.id, end, err.Detail)
 		return end
 	}
-	c.content = poison.ContentOf(c.customer, c.method, c.route.Value.Host, c.target, body.head)
-	if g.fatal.Ends(c.content) >= poison.BarAfter {
+	c.content = poison.FingerprintOf(c.customer, c.method, c.route.Value.Host, c.target, body.head)
+	if g.fatal.Ends(c.content) >= poison.BlockThreshold {
 		pass.Return()
 		end := peer.NotRun(fault.FatalRequest, 0)
 		events.RequestRefused.Log(g.log).Str("request", c.id).Str("code", end.GetCode()).Str("service", c.service.Key).
--- a/node/config.go
+++ b/node/config.go
@@ -157,7 +157,7 @@
 	c := n.cfg.Limits
 	return ratelimit.Config{
 		Host: n.cfg.Node.ID, Hall: n.cfg.Node.Hall, Policy: ratelimit.Policy(c.Policy), Settle: c.Settle.Std(),
-		Window: c.Window.Std(), Spare: int(c.Slack * spareShare),
+		Window: c.Window.Std(), Fallback: int(c.Slack * spareShare),
 	}
 }
 
--- a/node/sampler.go
+++ b/node/sampler.go
@@ -34,7 +34,7 @@
 	// events is nil where the log is not counted.
 	events eventCounter
 	calls  *storeCalls
-	keeper *quarantine.Keeper
+	keeper *quarantine.Tracker
 	budget *memory.Budget
 	log    *zerolog.Logger
 
