--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -2,93 +2,96 @@
 
 import "time"
 
-// Limit is what a customer may send: Rate requests a second, and Burst of them at once. Rate 0 stands for no limit.
+// Limit is a rate limit: Rate requests a second on average, and Burst requests at once. Rate 0 means no limit.
 type Limit struct {
 	Rate, Burst float64
 }
 
-// Part returns one of n equal parts.
-func (l Limit) Part(n int) Limit {
+// Share returns one of n equal shares of the limit.
+func (l Limit) Share(n int) Limit {
 	return Limit{Rate: l.Rate / float64(n), Burst: l.Burst / float64(n)}
 }
 
-// Within returns the most that the limit lets pass in a window.
-func (l Limit) Within(window time.Duration) float64 { return l.Rate*window.Seconds() + l.Burst }
+// MaxWithin returns the maximum number of requests that the limit lets pass in any window of this length.
+func (l Limit) MaxWithin(window time.Duration) float64 { return l.Rate*window.Seconds() + l.Burst }
 
-// Bucket grants one part of a limit; its owner locks it.
+// Bucket is a token bucket that grants requests from one share of a limit. It does not lock: the caller serializes access.
 //
-// Invariant: in any window it grants at most what its limit lets pass in it, with leastBurst in place of a smaller burst.
+// Invariant: in any window it grants at most Limit.MaxWithin of that window, with minBurst in place of a smaller burst.
 type Bucket struct {
 	limit Limit
-	// saved is what can be granted now, filled the time up to which it has come in.
-	saved  float64
-	filled time.Time
-	// promised is when the last one that was refused has been told to come back.
-	promised time.Time
+	// tokens is how many requests can be granted as of filledAt.
+	tokens   float64
+	filledAt time.Time
+	// lastRetryAt is the time at which the most recently refused caller was told to retry.
+	lastRetryAt time.Time
 }
 
-// mostPromise bounds how far ahead those that are refused are told to come back: further on, who comes is others.
-const mostPromise = 2 * time.Second
+// maxRetryDelay bounds how far ahead refused callers are told to retry: beyond it, other callers will have taken their place.
+const maxRetryDelay = 2 * time.Second
 
-// NewBucket returns a bucket that is empty at a time, which may be to come.
-func NewBucket(at time.Time, l Limit) *Bucket { return &Bucket{limit: l, filled: at} }
+// NewBucket returns a bucket that starts empty at a time, which may lie in the future.
+func NewBucket(startsAt time.Time, l Limit) *Bucket { return &Bucket{limit: l, filledAt: startsAt} }
 
 // SetLimit changes the limit from now on.
 func (b *Bucket) SetLimit(now time.Time, l Limit) {
 	if l == b.limit {
 		return
 	}
-	b.fill(now)
+	b.refill(now)
 	b.limit = l
-	b.saved = min(b.saved, b.most())
+	b.tokens = min(b.tokens, b.capacity())
 }
 
-// leastBurst is what every part of a limit can save up, in requests. With one, a customer with a limit of three a second that sent two
-// thirds of it had 7 in 100 requests refused (quota/testdata/fleets), for what comes at once is more than that now and then.
-const leastBurst = 2
+// minBurst is the minimum capacity of a bucket, in requests, however small its share of a limit. With a minimum of 1, a customer with a
+// limit of three requests a second that sent two thirds of it had 7 in 100 requests refused (quota/testdata/fleets), because now and
+// then more than one request arrives at once.
+const minBurst = 2
 
-// most is how much can be saved.
-func (b *Bucket) most() float64 { return max(b.limit.Burst, leastBurst) }
+// capacity is the maximum number of tokens.
+func (b *Bucket) capacity() float64 { return max(b.limit.Burst, minBurst) }
 
-func (b *Bucket) fill(now time.Time) {
-	if now.After(b.filled) {
-		b.saved = min(b.saved+b.limit.Rate*now.Sub(b.filled).Seconds(), b.most())
-		b.filled = now
+func (b *Bucket) refill(now time.Time) {
+	if now.After(b.filledAt) {
+		b.tokens = min(b.tokens+b.limit.Rate*now.Sub(b.filledAt).Seconds(), b.capacity())
+		b.filledAt = now
 	}
 }
 
-// Take grants up to so many requests.
+// Take grants up to want requests and returns how many it granted.
 func (b *Bucket) Take(now time.Time, want int) int {
-	b.fill(now)
-	granted := min(want, int(b.saved))
-	b.saved -= float64(granted)
+	b.refill(now)
+	granted := min(want, int(b.tokens))
+	b.tokens -= float64(granted)
 	return granted
 }
 
 // Return takes back a request that was granted and not used.
 func (b *Bucket) Return(now time.Time) {
-	b.fill(now)
-	b.saved = min(b.saved+1, b.most())
+	b.refill(now)
+	b.tokens = min(b.tokens+1, b.capacity())
 }
 
-// Wait returns when one that was refused should come back. Each is told a time of its own, as far apart as requests may pass, so
-// that those who wait do not come together.
+// RetryDelay returns after how long a refused caller should retry. Each call reserves a later time, spaced by the rate of the limit, so
+// that refused callers do not all retry at once.
 func (b *Bucket) RetryDelay(now time.Time) time.Duration {
-	b.fill(now)
-	first := max(b.filled.Sub(now), 0) + spanOf((1-b.saved)/b.limit.Rate)
-	next := max(first, b.promised.Sub(now)+spanOf(1/b.limit.Rate))
-	if next > mostPromise {
-		next = max(first, mostPromise)
+	b.refill(now)
+	first := max(b.filledAt.Sub(now), 0) + secondsToDuration((1-b.tokens)/b.limit.Rate)
+	next := max(first, b.lastRetryAt.Sub(now)+secondsToDuration(1/b.limit.Rate))
+	if next > maxRetryDelay {
+		next = max(first, maxRetryDelay)
 	}
-	b.promised = now.Add(next)
+	b.lastRetryAt = now.Add(next)
 	return next
 }
 
-// full tells whether a bucket that starts empty at a time would hold as much by now.
-func (b *Bucket) full(now time.Time) bool {
-	b.fill(now)
-	return b.saved >= b.most()
+// isFull reports whether the bucket is at its capacity, so that a new one in its place cannot grant more.
+func (b *Bucket) isFull(now time.Time) bool {
+	b.refill(now)
+	return b.tokens >= b.capacity()
 }
 
-// spanOf turns seconds into a time span.
-func spanOf(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
+// secondsToDuration converts a number of seconds to a duration.
+func secondsToDuration(seconds float64) time.Duration {
+	return time.Duration(seconds * float64(time.Second))
+}
--- a/quota/customers.go
+++ b/quota/customers.go
@@ -2,35 +2,36 @@
 
 import "github.com/hashicorp/golang-lru/v2/simplelru"
 
-// mostCustomers bounds the customers that a node keeps something of, about 200 bytes each.
-const mostCustomers = 20000
+// maxCustomers bounds the customers that a PerCustomer keeps an entry for, about 200 bytes each.
+const maxCustomers = 20000
 
-// PerCustomer keeps something for each customer that was met of late; its owner locks it.
+// PerCustomer is an LRU cache with one entry per customer. It does not lock: the caller serializes access.
 type PerCustomer[T any] struct {
 	entries *simplelru.LRU[string, T]
 }
 
-// NewPerCustomer returns an empty one; forgotten is told what had to make room.
-func NewPerCustomer[T any](forgotten func(customer string, entry T)) *PerCustomer[T] {
-	l, err := simplelru.NewLRU(mostCustomers, forgotten)
+// NewPerCustomer returns an empty cache. onEvicted, if not nil, is called for each entry that is removed, whether evicted by a newer one
+// or dropped by Retain.
+func NewPerCustomer[T any](onEvicted func(customer string, entry T)) *PerCustomer[T] {
+	l, err := simplelru.NewLRU(maxCustomers, onEvicted)
 	if err != nil {
-		// It fails for a size below one only.
+		// NewLRU fails only for a size below one.
 		panic(err)
 	}
 	return &PerCustomer[T]{entries: l}
 }
 
-// Of returns what is kept for a customer, made anew where there is nothing.
-func (l *PerCustomer[T]) Of(customer string, make func() T) T {
+// GetOrCreate returns a customer's entry, which it creates if there is none.
+func (l *PerCustomer[T]) GetOrCreate(customer string, create func() T) T {
 	entry, ok := l.entries.Get(customer)
 	if !ok {
-		entry = make()
+		entry = create()
 		l.entries.Add(customer, entry)
 	}
 	return entry
 }
 
-// Retain forgets the customers that keep does not hold on to.
+// Retain removes the entries of all customers for which keep returns false.
 func (l *PerCustomer[T]) Retain(keep func(customer string) bool) {
 	for _, customer := range l.entries.Keys() {
 		if !keep(customer) {
@@ -39,5 +40,5 @@
 	}
 }
 
-// Customers returns the customers of which something is kept.
+// Customers returns the customers that have an entry, least recently used first.
 func (l *PerCustomer[T]) Customers() []string { return l.entries.Keys() }
--- a/quota/place.go
+++ b/quota/place.go
@@ -8,112 +8,116 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Parts is how many homes a customer's limit has. A home that is gone takes its part with it until the list of hosts says so, ten
-// seconds or more; where three in ten hosts are gone, one customer in 37 lost all of three homes, and one in 1,400 loses all of six.
-const Parts = 6
+// OwnersPerCustomer is how many owners a customer's limit is split between. The share of an owner whose host is down is lost until the
+// list of hosts shows it, ten seconds or more. Where three in ten hosts are down, one customer in 37 would lose all of three owners; one
+// in 1,400 loses all of six.
+const OwnersPerCustomer = 6
 
-// Host is a host that may be a home.
+// Host is a host whose node may be an owner.
 type Host struct {
-	// ID names it.
+	// ID is the host's name.
 	ID string
-	// Hall is where it stands.
+	// Hall is the hall that the host is in.
 	Hall string
 }
 
-// Place places customers at homes by one list of hosts; immutable.
-type Place struct {
-	// all are the hashes of all hosts.
-	all []uint64
-	// hosts are those that may be homes, in order, and hashes theirs.
-	hosts  []Host
-	hashes []uint64
+// Placement assigns owners to customers by one list of hosts. It is immutable.
+type Placement struct {
+	// allHashes are the hashes of all hosts.
+	allHashes []uint64
+	// candidates are the hosts that may be owners, sorted by ID, and candidateHashes their hashes.
+	candidates      []Host
+	candidateHashes []uint64
 }
 
-// NewPlace returns the placement by a list of hosts, in whatever order. In each hall some hosts are homes, about the root of their
-// number: a node needs links to few, and each has its part of the questions.
-func NewPlace(hosts []Host) *Place {
-	p := &Place{all: make([]uint64, 0, len(hosts))}
-	byHall := make(map[string][]scored)
+// NewPlacement returns the placement by a list of hosts, whose order does not matter. In each hall about the square root of the number
+// of hosts may be owners: a node then needs links to few of them, and they share the requests for allotments.
+func NewPlacement(hosts []Host) *Placement {
+	p := &Placement{allHashes: make([]uint64, 0, len(hosts))}
+	byHall := make(map[string][]scoredHost)
 	for _, h := range hosts {
 		hash := xxhash.Sum64String(h.ID)
-		p.all = append(p.all, hash)
-		byHall[h.Hall] = append(byHall[h.Hall], scored{Host: h, score: mix(hash)})
+		p.allHashes = append(p.allHashes, hash)
+		byHall[h.Hall] = append(byHall[h.Hall], scoredHost{Host: h, score: mix(hash)})
 	}
-	for _, here := range byHall {
-		sortByScore(here)
-		homes := max(Parts, int(math.Ceil(math.Sqrt(float64(len(here))))))
-		for _, h := range here[:min(homes, len(here))] {
-			p.hosts = append(p.hosts, h.Host)
+	for _, inHall := range byHall {
+		sortByScore(inHall)
+		count := max(OwnersPerCustomer, int(math.Ceil(math.Sqrt(float64(len(inHall))))))
+		for _, h := range inHall[:min(count, len(inHall))] {
+			p.candidates = append(p.candidates, h.Host)
 		}
 	}
-	slices.SortFunc(p.hosts, func(a, b Host) int { return cmp.Compare(a.ID, b.ID) })
-	for _, h := range p.hosts {
-		p.hashes = append(p.hashes, xxhash.Sum64String(h.ID))
+	slices.SortFunc(p.candidates, func(a, b Host) int { return cmp.Compare(a.ID, b.ID) })
+	for _, h := range p.candidates {
+		p.candidateHashes = append(p.candidateHashes, xxhash.Sum64String(h.ID))
 	}
 	return p
 }
 
-// Same tells whether two placements have the same homes.
-func (p *Place) Same(o *Place) bool { return slices.Equal(p.hosts, o.hosts) }
+// SameOwners reports whether two placements have the same candidates, and hence the same owners for every customer.
+func (p *Placement) SameOwners(o *Placement) bool { return slices.Equal(p.candidates, o.candidates) }
 
-// Hosts returns how many hosts the list has.
-func (p *Place) Hosts() int { return len(p.all) }
+// HostCount returns the number of hosts in the list.
+func (p *Placement) HostCount() int { return len(p.allHashes) }
 
-// scored is a host with a weight.
-type scored struct {
+// scoredHost is a host with its score in rendezvous hashing.
+type scoredHost struct {
 	Host
 	score uint64
 }
 
-// sortByScore puts the heaviest first.
-func sortByScore(hosts []scored) {
-	slices.SortFunc(hosts, func(a, b scored) int { return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.ID, b.ID)) })
+// sortByScore sorts hosts by descending score.
+func sortByScore(hosts []scoredHost) {
+	slices.SortFunc(hosts, func(a, b scoredHost) int {
+		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.ID, b.ID))
+	})
 }
 
-// Homes returns the homes of a customer, at most Parts and in different halls as far as there are such: those that weigh most
-// (rendezvous hashing), so that a host that comes or goes moves few customers.
-func (p *Place) Homes(customer string) []Host {
+// Owners returns the owners of a customer's limit, at most OwnersPerCustomer and in different halls as far as possible. They are the
+// candidates with the highest scores (rendezvous hashing), so that a host that is added or removed moves few customers.
+func (p *Placement) Owners(customer string) []Host {
 	c := xxhash.Sum64String(customer)
-	all := make([]scored, len(p.hosts))
-	for i, h := range p.hosts {
-		all[i] = scored{Host: h, score: mix(c ^ p.hashes[i])}
+	all := make([]scoredHost, len(p.candidates))
+	for i, h := range p.candidates {
+		all[i] = scoredHost{Host: h, score: mix(c ^ p.candidateHashes[i])}
 	}
 	sortByScore(all)
-	homes := make([]Host, 0, Parts)
+	owners := make([]Host, 0, OwnersPerCustomer)
 	for _, h := range all {
-		if len(homes) < Parts && !slices.ContainsFunc(homes, func(o Host) bool { return o.Hall == h.Hall }) {
-			homes = append(homes, h.Host)
+		if len(owners) < OwnersPerCustomer && !slices.ContainsFunc(owners, func(o Host) bool { return o.Hall == h.Hall }) {
+			owners = append(owners, h.Host)
 		}
 	}
 	for _, h := range all {
-		if len(homes) < Parts && !slices.Contains(homes, h.Host) {
-			homes = append(homes, h.Host)
+		if len(owners) < OwnersPerCustomer && !slices.Contains(owners, h.Host) {
+			owners = append(owners, h.Host)
 		}
 	}
-	return homes
+	return owners
 }
 
-// Share returns a host's part of a whole number that is dealt out among all hosts of the list, for a customer.
-func (p *Place) Share(host, customer string, whole int) int {
-	n := len(p.all)
-	if n == 0 || whole <= 0 {
+// Share returns a host's share of total, an integer that is divided among all hosts of the list. The hosts that get one more than the
+// others, where it does not divide evenly, differ by customer.
+func (p *Placement) Share(host, customer string, total int) int {
+	n := len(p.allHashes)
+	if n == 0 || total <= 0 {
 		return 0
 	}
 	c := xxhash.Sum64String(customer)
 	own, rank := mix(c^xxhash.Sum64String(host)), 0
-	for _, hash := range p.all {
+	for _, hash := range p.allHashes {
 		if mix(c^hash) > own {
 			rank++
 		}
 	}
-	share := whole / n
-	if rank < whole%n {
+	share := total / n
+	if rank < total%n {
 		share++
 	}
 	return share
 }
 
-// mix spreads a number over all others (the finalizer of splitmix64).
+// mix is the finalizer of splitmix64: it maps similar numbers to unrelated ones.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- a/quota/sim_test.go
+++ b/quota/sim_test.go
@@ -8,68 +8,71 @@
 	"time"
 )
 
-// The simulated fleets ask, lend, freeze, restart, lose words and learn of changes late. Only what passed counts, summed over all nodes
-// and over every window.
+// The nodes of the simulated fleets request and grant allotments, freeze, restart, lose messages and learn of changes late. The tests
+// check the requests that passed, summed over all nodes, in every window.
 const (
 	simTick   = 10 * time.Millisecond
 	simWindow = 5 * time.Second
 	simSettle = 2 * time.Second
-	// simPatience is how long a home's answer is waited for.
-	simPatience = 40 * time.Millisecond
-	simCustomer = "acme"
+	// simAskTimeout is how long a node waits for an owner's answer.
+	simAskTimeout = 40 * time.Millisecond
+	simCustomer   = "acme"
 )
 
-// simNode is one node with a steady clock of its own.
+// simNode is one node, whose clock differs from the fleet's by offset.
 type simNode struct {
 	host     Host
 	offset   time.Duration
-	home     *Home
-	borrower *Borrower
-	spare    *Spare
-	// view is which list of hosts it goes by, frozen until when it stands still, cut until when it reaches nobody, started when its
-	// process was.
-	view                 int
-	frozen, cut, started time.Duration
-	// lentUntil is when what it holds ends for its home.
-	lentUntil time.Duration
-	// slow has it learn of each list as late as may be.
+	owner    *Owner
+	holder   *Holder
+	fallback *Fallback
+	// list is the index of the newest list of hosts that it has learned.
+	list int
+	// frozenUntil is until when it does nothing, cutUntil until when it reaches no other node, startedAt when its process started.
+	frozenUntil, cutUntil, startedAt time.Duration
+	// grantedUntil is when its allotment expires by the owner's count.
+	grantedUntil time.Duration
+	// slow makes it learn of each list as late as possible.
 	slow bool
 }
 
-// simFleet is a fleet over virtual time.
+// simFleet is a fleet in virtual time.
 type simFleet struct {
 	random *rand.Rand
 	nodes  []*simNode
-	// lists are the lists of hosts, since when each is the newest.
-	lists []*Place
-	since []time.Duration
-	now   time.Duration
-	limit Limit
-	spare int
-	// even has every node lend to itself alone; stray lets cut nodes outlive the time to settle.
-	even, stray bool
-	// suspend has hosts suspended where they would freeze, steady has nodes go by clocks that stand still meanwhile.
-	suspend, steady bool
-	// passed are the times at which requests passed, staleOwn those that a cut node lent to itself by a list that is no more.
-	passed   []time.Duration
-	staleOwn int
-	// ended counts those that passed by loans that had ended for their homes.
-	ended   int
+	// lists are the lists of hosts, and since the times at which they were published.
+	lists    []*Placement
+	since    []time.Duration
+	now      time.Duration
+	limit    Limit
+	fallback int
+	// evenShares makes every node grant to itself alone; longCuts lets nodes stay cut off for longer than a list takes to settle.
+	evenShares, longCuts bool
+	// suspends makes hosts be suspended where they would freeze; clockStops makes their clocks stop meanwhile.
+	suspends, clockStops bool
+	// passed are the times at which requests passed.
+	passed []time.Duration
+	// staleSelfGrants counts the requests that nodes that were cut off granted to themselves by an outdated list.
+	staleSelfGrants int
+	// usedAfterExpiry counts the requests that passed on allotments that had expired by the owner's count.
+	usedAfterExpiry int
+	// asked counts the requests for allotments, arrived the customer's requests, refused those of them that were refused.
 	asked   int
 	refused int
-	all     int
-	// taken is the latest list by which a host has lent that was no home by the list before, broken what must not be.
-	taken  int
-	broken []string
+	arrived int
+	// takenOver is the latest list by which a host has granted that was no owner by the list before it.
+	takenOver int
+	// violations describes each violation of an invariant.
+	violations []string
 }
 
-// simStart is far from the zero time, which means "never".
+// simStart is far from the zero time, which the code under test takes for "never".
 var simStart = time.Unix(1_000_000, 0)
 
 func (f *simFleet) clock(n *simNode) time.Time { return simStart.Add(f.now + n.offset) }
 
-func newSimFleet(random *rand.Rand, nodes, halls int, limit Limit, spare int) *simFleet {
-	f := &simFleet{random: random, limit: limit, spare: spare}
+func newSimFleet(random *rand.Rand, nodes, halls int, limit Limit, fallback int) *simFleet {
+	f := &simFleet{random: random, limit: limit, fallback: fallback}
 	var hosts []Host
 	for i := range nodes {
 		h := Host{ID: fmt.Sprint("h", i), Hall: fmt.Sprint("hall", i%halls)}
@@ -78,105 +81,109 @@
 		f.nodes = append(f.nodes, n)
 		f.restart(n)
 	}
-	f.list(hosts)
+	f.publishList(hosts)
 	return f
 }
 
 func (f *simFleet) restart(n *simNode) {
 	settle := simSettle
-	if f.even {
+	if f.evenShares {
 		settle = 0
 	}
-	n.started = f.now
-	n.home = NewHome(f.clock(n), settle)
-	n.borrower = NewBorrower(DefaultTerms())
-	n.spare = NewSpare(simWindow)
+	n.startedAt = f.now
+	n.owner = NewOwner(f.clock(n), settle)
+	n.holder = NewHolder(DefaultHolderConfig())
+	n.fallback = NewFallback(simWindow)
 }
 
-// list makes a list of hosts the newest.
-func (f *simFleet) list(hosts []Host) {
-	f.lists = append(f.lists, NewPlace(hosts))
+// publishList makes a list of hosts the newest.
+func (f *simFleet) publishList(hosts []Host) {
+	f.lists = append(f.lists, NewPlacement(hosts))
 	f.since = append(f.since, f.now)
 }
 
-// learn brings a node to a later list.
-func (f *simFleet) learn(n *simNode, view int) {
-	if view <= n.view {
+// learn switches a node to a newer list; it ignores an older one.
+func (f *simFleet) learn(n *simNode, list int) {
+	if list <= n.list {
 		return
 	}
-	old := f.lists[n.view]
-	n.view = view
-	if !f.lists[view].Same(old) && !f.even {
-		n.home.Changed(f.clock(n), func(c string) bool { return f.isHome(n, c) })
+	old := f.lists[n.list]
+	n.list = list
+	if !f.lists[list].SameOwners(old) && !f.evenShares {
+		n.owner.HostsChanged(f.clock(n), func(c string) bool { return f.isOwner(n, c) })
 	}
 }
 
-func (f *simFleet) isHome(n *simNode, customer string) bool {
-	return slices.Contains(f.lists[n.view].Homes(customer), n.host)
+func (f *simFleet) isOwner(n *simNode, customer string) bool {
+	return slices.Contains(f.lists[n.list].Owners(customer), n.host)
 }
 
-// lend has a node answer a question; false when it does not take itself for a home.
-func (f *simFleet) lend(n *simNode, want int) (Allotment, bool) {
-	if f.even {
-		return n.home.Lend(f.clock(n), simCustomer, f.limit.Part(len(f.nodes)), want), true
+// grant makes a node answer a request for an allotment; it returns false if the node is no owner by its own list.
+func (f *simFleet) grant(n *simNode, want int) (Allotment, bool) {
+	if f.evenShares {
+		return n.owner.Grant(f.clock(n), simCustomer, f.limit.Share(len(f.nodes)), want), true
 	}
-	if !f.isHome(n, simCustomer) {
+	if !f.isOwner(n, simCustomer) {
 		return Allotment{}, false
 	}
-	loan := n.home.Lend(f.clock(n), simCustomer, f.limit.Part(len(f.lists[n.view].Homes(simCustomer))), want)
-	if loan.Count > 0 {
-		f.checkHome(n)
+	a := n.owner.Grant(f.clock(n), simCustomer, f.limit.Share(len(f.lists[n.list].Owners(simCustomer))), want)
+	if a.Count > 0 {
+		f.checkSingleOwner(n)
 	}
-	return loan, true
+	return a, true
 }
 
-// checkHome wants no part of a limit to be lent by two homes: none that has gone over to a new home, which was up when it did, is
-// lent any more by a list from before that. Nodes that are cut off for long are counted apart.
-func (f *simFleet) checkHome(n *simNode) {
-	if n.view > 0 && n.view > f.taken && n.started < f.since[n.view] && !slices.Contains(f.lists[n.view-1].Homes(simCustomer), n.host) {
-		f.taken = n.view
-	}
-	if !f.stray && n.view < f.taken && !slices.Contains(f.lists[f.taken].Homes(simCustomer), n.host) {
-		f.broken = append(f.broken, fmt.Sprintf("%v: %s lends by list %d, its part went over by list %d", f.now, n.host.ID, n.view, f.taken))
+// checkSingleOwner checks that no share of a limit is granted by two owners: once a new owner that was up when its list was published
+// has granted from a share, no node that is no owner any more grants by an older list. With longCuts that may happen: staleSelfGrants
+// counts it.
+func (f *simFleet) checkSingleOwner(n *simNode) {
+	if n.list > 0 && n.list > f.takenOver && n.startedAt < f.since[n.list] &&
+		!slices.Contains(f.lists[n.list-1].Owners(simCustomer), n.host) {
+		f.takenOver = n.list
+	}
+	if !f.longCuts && n.list < f.takenOver && !slices.Contains(f.lists[f.takenOver].Owners(simCustomer), n.host) {
+		f.violations = append(f.violations, fmt.Sprintf(
+			"%v: %s grants by list %d, but list %d gave its share to a new owner", f.now, n.host.ID, n.list, f.takenOver,
+		))
 	}
 }
 
 func (f *simFleet) reaches(a, b *simNode) bool {
-	return a == b || a.cut <= f.now && b.cut <= f.now && b.frozen <= f.now
+	return a == b || a.cutUntil <= f.now && b.cutUntil <= f.now && b.frozenUntil <= f.now
 }
 
-// request lets one request of the customer come to a node.
+// request simulates the arrival of one request of the customer at a node.
 func (f *simFleet) request(n *simNode) {
-	if n.frozen > f.now {
+	if n.frozenUntil > f.now {
 		return
 	}
-	f.all++
-	want := n.borrower.Arrived(f.clock(n), simCustomer)
+	f.arrived++
+	want := n.holder.RecordDemand(f.clock(n), simCustomer)
 	if f.use(n) {
 		return
 	}
-	homes := []Host{n.host}
-	if !f.even {
-		homes = f.lists[n.view].Homes(simCustomer)
-		slices.SortStableFunc(homes, func(a, b Host) int { return hallOrder(n.host, a) - hallOrder(n.host, b) })
+	owners := []Host{n.host}
+	if !f.evenShares {
+		owners = f.lists[n.list].Owners(simCustomer)
+		slices.SortStableFunc(owners, func(a, b Host) int { return hallOrder(n.host, a) - hallOrder(n.host, b) })
 	}
-	names := make([]string, 0, len(homes))
-	for _, h := range homes {
+	names := make([]string, 0, len(owners))
+	for _, h := range owners {
 		names = append(names, h.ID)
-		if n.borrower.May(f.clock(n), simCustomer, h.ID) && f.ask(n, h, want) && f.use(n) {
+		if n.holder.CanAsk(f.clock(n), simCustomer, h.ID) && f.ask(n, h, want) && f.use(n) {
 			return
 		}
 	}
-	_, reached := n.borrower.Wait(f.clock(n), simCustomer, names)
-	if !reached && n.spare.Use(f.clock(n), simCustomer, f.lists[n.view].Share(n.host.ID, simCustomer, f.spare)) {
+	_, reached := n.holder.RetryDelay(f.clock(n), simCustomer, names)
+	if !reached && n.fallback.Use(f.clock(n), simCustomer, f.lists[n.list].Share(n.host.ID, simCustomer, f.fallback)) {
 		f.passed = append(f.passed, f.now)
 		return
 	}
 	f.refused++
 }
 
-func hallOrder(n, home Host) int {
-	if n.Hall == home.Hall {
+func hallOrder(n, owner Host) int {
+	if n.Hall == owner.Hall {
 		return 0
 	}
 	return 1
@@ -184,107 +191,107 @@
 
 func (f *simFleet) use(n *simNode) bool {
 	if f.random.IntN(2000) == 0 {
-		// It stands still between the answer and the request; time goes on for the others.
-		n.frozen = f.now + time.Duration(f.random.IntN(3e9))
-		f.standStill(n)
-		f.pass(n, n.frozen)
+		// The node freezes between the owner's answer and the request, while time goes on for the others.
+		n.frozenUntil = f.now + time.Duration(f.random.IntN(3e9))
+		f.stopClock(n)
+		f.pass(n, n.frozenUntil)
 		return true
 	}
 	return f.pass(n, f.now)
 }
 
-// suspendMany suspends most hosts at once, as a move of their machines does.
+// suspendMany suspends most hosts at once, as a migration of their machines does.
 func (f *simFleet) suspendMany() {
 	length := time.Duration(f.random.IntN(4e9))
 	for _, o := range f.nodes {
 		if f.random.IntN(4) > 0 {
-			o.frozen = f.now + length
-			f.standStill(o)
+			o.frozenUntil = f.now + length
+			f.stopClock(o)
 		}
 	}
 }
 
-// standStill has a node's clock stand still while its host is suspended, if it goes by a steady one.
-func (f *simFleet) standStill(n *simNode) {
-	if f.suspend && f.steady {
-		n.offset -= n.frozen - f.now
+// stopClock stops a node's clock while its host is suspended, if clockStops is set.
+func (f *simFleet) stopClock(n *simNode) {
+	if f.suspends && f.clockStops {
+		n.offset -= n.frozenUntil - f.now
 	}
 }
 
-// pass uses a loan at a time, within its term.
+// pass uses the node's allotment at a time, unless it has expired by the node's clock.
 func (f *simFleet) pass(n *simNode, at time.Duration) bool {
 	now := f.clock(n).Add(at - f.now)
-	until, ok := n.borrower.Use(now, simCustomer)
+	expiresAt, ok := n.holder.Use(now, simCustomer)
 	if !ok {
 		return false
 	}
 	f.passed = append(f.passed, at)
-	if at > n.lentUntil {
-		f.ended++
+	if at > n.grantedUntil {
+		f.usedAfterExpiry++
 	}
-	if !now.Before(until) {
-		f.broken = append(f.broken, fmt.Sprintf("%v: %s uses a loan %v after its end", at, n.host.ID, now.Sub(until)))
+	if !now.Before(expiresAt) {
+		f.violations = append(f.violations, fmt.Sprintf("%v: %s uses an allotment %v after its expiry", at, n.host.ID, now.Sub(expiresAt)))
 	}
 	return true
 }
 
-// ask asks a home; the question or the answer may be lost, and the answer late.
+// ask asks an owner for an allotment. The request or the answer may be lost, and the answer may come too late.
 func (f *simFleet) ask(n *simNode, h Host, want int) bool {
-	asked := f.clock(n)
-	home := f.nodes[slices.IndexFunc(f.nodes, func(o *simNode) bool { return o.host == h })]
+	askedAt := f.clock(n)
+	owner := f.nodes[slices.IndexFunc(f.nodes, func(o *simNode) bool { return o.host == h })]
 	f.asked++
-	if !f.reaches(n, home) || n != home && f.random.IntN(50) == 0 {
-		n.borrower.Silent(asked, h.ID)
+	if !f.reaches(n, owner) || n != owner && f.random.IntN(50) == 0 {
+		n.holder.MarkUnresponsive(askedAt, h.ID)
 		return false
 	}
-	loan, ok := f.lend(home, want)
-	took := time.Duration(f.random.IntN(int(simPatience / 20)))
-	if n != home && f.random.IntN(50) == 0 {
-		took = simPatience + 1
+	a, ok := f.grant(owner, want)
+	took := time.Duration(f.random.IntN(int(simAskTimeout / 20)))
+	if n != owner && f.random.IntN(50) == 0 {
+		took = simAskTimeout + 1
 	}
-	if n == home && home.cut > f.now && f.lists[len(f.lists)-1] != f.lists[home.view] {
-		f.staleOwn += loan.Count
+	if n == owner && owner.cutUntil > f.now && f.lists[len(f.lists)-1] != f.lists[owner.list] {
+		f.staleSelfGrants += a.Count
 	}
-	if !ok || took > simPatience {
-		// What was lent is lost: nobody uses it.
-		n.borrower.Silent(asked, h.ID)
+	if !ok || took > simAskTimeout {
+		// The allotment is lost: no node uses it.
+		n.holder.MarkUnresponsive(askedAt, h.ID)
 		return false
 	}
-	n.borrower.Lent(asked, asked.Add(took), simCustomer, h.ID, loan)
-	if loan.Count > 0 {
-		n.lentUntil = max(n.lentUntil, f.now+DefaultTerms().Term)
+	n.holder.Add(askedAt, askedAt.Add(took), simCustomer, h.ID, a)
+	if a.Count > 0 {
+		n.grantedUntil = max(n.grantedUntil, f.now+DefaultHolderConfig().AllotmentDuration)
 	}
-	return loan.Count > 0
+	return a.Count > 0
 }
 
-// trouble draws what may happen within a tick to a fleet that lives for so long.
-func (f *simFleet) trouble() {
+// injectFault draws the fault, if any, that happens in a tick.
+func (f *simFleet) injectFault() {
 	n := f.nodes[f.random.IntN(len(f.nodes))]
 	switch f.random.IntN(60) {
 	case 0:
 		f.restart(n)
 	case 1:
-		n.frozen = f.now + time.Duration(f.random.IntN(4e9))
-		f.standStill(n)
+		n.frozenUntil = f.now + time.Duration(f.random.IntN(4e9))
+		f.stopClock(n)
 	case 2:
-		// It hears of a change half the time late and is cut off for the other half.
-		most := simSettle/2 - 3*simTick
-		if f.stray {
-			most = 8 * time.Second
+		// A slow node learns of a change after half the time to settle and may be cut off for the other half.
+		maxLength := simSettle/2 - 3*simTick
+		if f.longCuts {
+			maxLength = 8 * time.Second
 		}
-		if n.cut+2*simTick > f.now && n.cut > 0 && !f.stray {
-			// Without a moment between two cuts it would not hear of a change in time.
+		if n.cutUntil+2*simTick > f.now && n.cutUntil > 0 && !f.longCuts {
+			// Without a pause between two cuts the node would not learn of a change in time.
 			return
 		}
-		n.cut = f.now + time.Duration(f.random.Int64N(int64(most)))
+		n.cutUntil = f.now + time.Duration(f.random.Int64N(int64(maxLength)))
 	case 3:
 		f.newList()
 	case 5:
-		if f.suspend {
+		if f.suspends {
 			f.suspendMany()
 		}
 	case 4:
-		// A third of the nodes start again at once.
+		// A third of the nodes restart at once.
 		for _, o := range f.nodes {
 			if f.random.IntN(3) == 0 {
 				f.restart(o)
@@ -293,14 +300,14 @@
 	}
 }
 
-// newList makes a list the newest once the one before has settled.
+// newList publishes a random list of hosts if the previous list has settled.
 func (f *simFleet) newList() {
 	if f.since[len(f.since)-1]+simSettle <= f.now {
-		f.list(f.someHosts())
+		f.publishList(f.someHosts())
 	}
 }
 
-// someHosts leaves out one host in ten.
+// someHosts returns the hosts without a random one in ten.
 func (f *simFleet) someHosts() []Host {
 	var hosts []Host
 	for _, n := range f.nodes {
@@ -308,8 +315,8 @@
 			hosts = append(hosts, n.host)
 		}
 	}
-	for _, n := range f.nodes[:min(Parts, len(f.nodes))] {
-		// Lists of less than Parts hosts that differ are not part of the bound.
+	for _, n := range f.nodes[:min(OwnersPerCustomer, len(f.nodes))] {
+		// The bound does not hold across changes between lists of fewer than OwnersPerCustomer hosts.
 		if !slices.Contains(hosts, n.host) {
 			hosts = append(hosts, n.host)
 		}
@@ -317,13 +324,13 @@
 	return hosts
 }
 
-// step lets a tick pass, in which some requests come.
+// step advances the time by a tick, in which some requests arrive.
 func (f *simFleet) step(requests float64, to func() *simNode) {
 	f.now += simTick
 	newest := len(f.lists) - 1
 	for _, n := range f.nodes {
 		late := f.since[newest]+simSettle/2 <= f.now
-		if n.cut <= f.now && (late || !n.slow && f.random.IntN(10) == 0) {
+		if n.cutUntil <= f.now && (late || !n.slow && f.random.IntN(10) == 0) {
 			f.learn(n, newest)
 		}
 	}
@@ -339,15 +346,15 @@
 	return 0
 }
 
-// worst is the most that passed in a window, less what the rule of a test allows besides.
-func (f *simFleet) worst() int {
+// maxPassed returns the maximum number of requests that passed in any window.
+func (f *simFleet) maxPassed() int {
 	slices.Sort(f.passed)
-	most, from := 0, 0
+	highest, from := 0, 0
 	for i, at := range f.passed {
 		for at-f.passed[from] > simWindow {
 			from++
 		}
-		most = max(most, i-from+1)
+		highest = max(highest, i-from+1)
 	}
-	return most
+	return highest
 }
--- a/ratelimit/allowance.go
+++ b/ratelimit/allowance.go
@@ -70,10 +70,10 @@
 
 	mu       sync.Mutex
 	hosts    []table.HostInfo
-	place    *quota.Place
-	home     *quota.Home
-	borrower *quota.Borrower
-	spare    *quota.Spare
+	place    *quota.Placement
+	home     *quota.Owner
+	borrower *quota.Holder
+	spare    *quota.Fallback
 	used     *quota.PerCustomer[*Usage]
 }
 
@@ -88,13 +88,13 @@
 	cfg Config, log *zerolog.Logger, snapshot func() *configsync.Snapshot, links Links, m *metrics.Metrics, opts ...Option,
 ) *Limiter {
 	a := &Limiter{
-		cfg: cfg, log: log, snapshot: snapshot, links: links, metrics: m, now: clock.Boot, borrower: quota.NewBorrower(quota.DefaultTerms()),
-		spare: quota.NewSpare(cfg.Window), used: quota.NewPerCustomer[*Usage](nil),
+		cfg: cfg, log: log, snapshot: snapshot, links: links, metrics: m, now: clock.Boot, borrower: quota.NewHolder(quota.DefaultHolderConfig()),
+		spare: quota.NewFallback(cfg.Window), used: quota.NewPerCustomer[*Usage](nil),
 	}
 	for _, opt := range opts {
 		opt(a)
 	}
-	a.home = quota.NewHome(a.now(), cfg.Settle)
+	a.home = quota.NewOwner(a.now(), cfg.Settle)
 	return a
 }
 
@@ -111,22 +111,22 @@
 	next := placeOf(snap.Hosts)
 	last := a.place
 	a.place = next
-	if last != nil && !last.Same(next) {
-		a.home.Changed(now, a.isHome)
+	if last != nil && !last.SameOwners(next) {
+		a.home.HostsChanged(now, a.isHome)
 	}
 }
 
 // sameList tells whether two lists are one and the same.
 func sameList(a, b []table.HostInfo) bool { return len(a) == len(b) && len(a) > 0 && &a[0] == &b[0] }
 
-func placeOf(hosts []table.HostInfo) *quota.Place {
+func placeOf(hosts []table.HostInfo) *quota.Placement {
 	list := make([]quota.Host, 0, len(hosts))
 	for _, h := range hosts {
 		if !h.Leaving {
 			list = append(list, quota.Host{ID: h.ID, Hall: h.Hall})
 		}
 	}
-	return quota.NewPlace(list)
+	return quota.NewPlacement(list)
 }
 
 // isHome tells whether this node is a home of a customer; the lock is held.
@@ -144,7 +144,7 @@
 	if a.cfg.Policy == Even {
 		return []quota.Host{{ID: a.cfg.Host, Hall: a.cfg.Hall}}
 	}
-	homes := a.place.Homes(customer)
+	homes := a.place.Owners(customer)
 	slices.SortStableFunc(homes, func(x, y quota.Host) int { return a.distance(x) - a.distance(y) })
 	return homes
 }
@@ -188,9 +188,9 @@
 	}
 	parts := len(a.homes(customer))
 	if a.cfg.Policy == Even {
-		parts = max(1, a.place.Hosts())
+		parts = max(1, a.place.HostCount())
 	}
-	return a.home.Lend(now, customer, limit.Part(parts), want)
+	return a.home.Grant(now, customer, limit.Share(parts), want)
 }
 
 // Pass is one request that may pass; it stands until the request has reached an endpoint or is given back.
@@ -218,7 +218,7 @@
 		return Permit{}, 0, true
 	}
 	a.mu.Lock()
-	want := a.borrower.Arrived(a.now(), customer)
+	want := a.borrower.RecordDemand(a.now(), customer)
 	homes := a.homes(customer)
 	pass, ok := a.take(customer)
 	a.mu.Unlock()
@@ -244,21 +244,21 @@
 	asked := a.now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.borrower.May(asked, customer, home.ID) {
+	if !a.borrower.CanAsk(asked, customer, home.ID) {
 		return Permit{}, false
 	}
 	if a.own(home) {
-		a.borrower.Lent(asked, asked, customer, home.ID, a.lend(asked, customer, limit, want))
+		a.borrower.Add(asked, asked, customer, home.ID, a.lend(asked, customer, limit, want))
 		return a.take(customer)
 	}
 	a.mu.Unlock()
 	loan, ok := a.ask(ctx, home.ID, customer, want)
 	a.mu.Lock()
 	if !ok {
-		a.borrower.Silent(a.now(), home.ID)
+		a.borrower.MarkUnresponsive(a.now(), home.ID)
 		return Permit{}, false
 	}
-	a.borrower.Lent(asked, a.now(), customer, home.ID, loan)
+	a.borrower.Add(asked, a.now(), customer, home.ID, loan)
 	return a.take(customer)
 }
 
@@ -287,7 +287,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.now()
-	wait, reached := a.borrower.Wait(now, customer, names)
+	wait, reached := a.borrower.RetryDelay(now, customer, names)
 	if !reached && a.place != nil && a.spare.Use(now, customer, a.place.Share(a.cfg.Host, customer, a.cfg.Fallback)) {
 		return Permit{}, 0, true
 	}
--- a/ratelimit/report.go
+++ b/ratelimit/report.go
@@ -34,7 +34,7 @@
 
 // use is the customer's counts; the lock is held.
 func (a *Limiter) use(customer string) *Usage {
-	return a.used.Of(customer, func() *Usage { return &Usage{Customer: customer} })
+	return a.used.GetOrCreate(customer, func() *Usage { return &Usage{Customer: customer} })
 }
 
 // count counts one request.
