--- a/ratelimit/doc.go
+++ b/ratelimit/doc.go
@@ -1,3 +1,3 @@
-// Package ratelimit keeps customers to their limits at one node: it borrows from the homes of a customer's limit what requests need,
-// and lends where this node is a home.
+// Package ratelimit enforces customers' rate limits at one node. It requests allotments from the owners of a customer's limit as requests
+// arrive, and grants allotments to other nodes for the limits that this node is an owner of.
 package ratelimit
--- a/ratelimit/report.go
+++ b/ratelimit/report.go
@@ -5,24 +5,24 @@
 	"slices"
 )
 
-// Use is what came of a customer's requests at one node since it started.
+// Usage counts a customer's requests at one node since the node started. In JSON, Granted is called "lent" and IsOwner "home".
 type Usage struct {
 	// Customer is the customer's name.
 	Customer string `json:"customer"`
 	// Limit and Burst are its limit for the whole fleet, in requests a second and at once.
 	Limit float64 `json:"limit"`
 	Burst float64 `json:"burst"`
-	// Passed counts the sends that passed here, Refused the requests that were refused as beyond the limit.
+	// Passed counts the sends to endpoints that passed here, Refused the requests that were refused because they exceeded the limit.
 	Passed  uint64 `json:"passed"`
 	Refused uint64 `json:"refused"`
-	// Lent counts what this node has lent to others, Unused what passed and reached no endpoint.
+	// Granted counts the requests that this node has granted to other nodes, Unused the permits that were returned.
 	Granted uint64 `json:"lent"`
 	Unused  uint64 `json:"unused"`
-	// Home is set where this node is a home of the customer's limit.
+	// IsOwner is set if this node is an owner of the customer's limit.
 	IsOwner bool `json:"home"`
 }
 
-// With returns the counts with those of another node added.
+// Plus returns the sum of the counts of two nodes.
 func (u Usage) Plus(o Usage) Usage {
 	u.Passed += o.Passed
 	u.Refused += o.Refused
@@ -32,17 +32,17 @@
 	return u
 }
 
-// use is the customer's counts; the lock is held.
-func (a *Limiter) use(customer string) *Usage {
-	return a.used.GetOrCreate(customer, func() *Usage { return &Usage{Customer: customer} })
+// usage returns a customer's counts. The caller holds l.mu.
+func (l *Limiter) usage(customer string) *Usage {
+	return l.usages.GetOrCreate(customer, func() *Usage { return &Usage{Customer: customer} })
 }
 
-// count counts one request.
-func (a *Limiter) count(customer string, passed bool) {
-	a.metrics.Limited(customer, passed)
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	u := a.use(customer)
+// countRequest counts one request as passed or refused.
+func (l *Limiter) countRequest(customer string, passed bool) {
+	l.metrics.Limited(customer, passed)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	u := l.usage(customer)
 	if passed {
 		u.Passed++
 	} else {
@@ -50,17 +50,17 @@
 	}
 }
 
-// Report returns the customers with a limit that were met of late, those that were refused most first.
-func (a *Limiter) Report() []Usage {
-	state := a.snapshot().State
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	customers := a.used.Customers()
+// Report returns the usage of the customers with a limit that sent requests recently, those with the most refused requests first.
+func (l *Limiter) Report() []Usage {
+	state := l.snapshot().State
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	customers := l.usages.Customers()
 	out := make([]Usage, 0, len(customers))
 	for _, customer := range customers {
-		u := *a.use(customer)
+		u := *l.usage(customer)
 		limit, _ := limitOf(state, customer)
-		u.Limit, u.Burst, u.IsOwner = limit.Rate, limit.Burst, a.isHome(customer)
+		u.Limit, u.Burst, u.IsOwner = limit.Rate, limit.Burst, l.isOwner(customer)
 		out = append(out, u)
 	}
 	slices.SortFunc(out, func(x, y Usage) int {
