--- a/poison/fatal_test.go
+++ b/poison/poison_test.go
@@ -8,8 +8,9 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// TestContentOf checks what belongs to a content: nobody's request is taken for another customer's, and no part runs into the next.
-func TestContentOf(t *testing.T) {
+// TestFingerprintOf checks what a fingerprint covers: requests of different customers differ, and text that moves from one part of a
+// request to the next changes it.
+func TestFingerprintOf(t *testing.T) {
 	same := FingerprintOf("firm-1", "GET", "Desk.example", "/list", []byte("x"))
 	if got, want := FingerprintOf("firm-1", "GET", "desk.EXAMPLE", "/list", []byte("x")), same; got != want {
 		t.Errorf("another case of the host: got %v, want %v", got, want)
@@ -23,7 +24,7 @@
 	}
 	for part, got := range others {
 		if got == same {
-			t.Errorf("another %s: got the same content", part)
+			t.Errorf("another %s: got the same fingerprint", part)
 		}
 	}
 	if got, ok := ParseFingerprint(same.String()); !ok || got != same {
@@ -36,28 +37,29 @@
 	}
 }
 
-// TestEnds checks when a request is barred and when fewer ends are forgotten; a barred one never is.
-func TestEnds(t *testing.T) {
+// TestBlockedAndExpired checks after how many crashes a request is blocked, and when fewer crashes expire. Those of a blocked request
+// never do.
+func TestBlockedAndExpired(t *testing.T) {
 	now := time.UnixMilli(1e12)
 	f := table.Fatal{}
-	for i, end := range []string{"a@1", "b@2", "b@2", "c@3"} {
-		f = WithCrashes(f, "desk", []string{end}, now)
+	for i, crash := range []string{"a@1", "b@2", "b@2", "c@3"} {
+		f = WithCrashes(f, "desk", []string{crash}, now)
 		if got, want := Blocked(f), i == 3; got != want {
-			t.Errorf("barred after %v: got %v, want %v", f.Ends, got, want)
+			t.Errorf("blocked after %v: got %v, want %v", f.Ends, got, want)
 		}
-		later := now.Add(ForgetAfter + time.Second)
-		if got, want := Forgotten(f, later), i < 3; got != want {
-			t.Errorf("forgotten with %v: got %v, want %v", f.Ends, got, want)
+		later := now.Add(SuspicionDuration + time.Second)
+		if got, want := Expired(f, later), i < 3; got != want {
+			t.Errorf("expired with %v: got %v, want %v", f.Ends, got, want)
 		}
-		if got, want := Forgotten(f, now.Add(ForgetAfter-time.Second)), false; got != want {
-			t.Errorf("forgotten early with %v: got %v, want %v", f.Ends, got, want)
+		if got, want := Expired(f, now.Add(SuspicionDuration-time.Second)), false; got != want {
+			t.Errorf("expired early with %v: got %v, want %v", f.Ends, got, want)
 		}
 	}
 }
 
-// TestRecords checks that a row comes back from the store as it was written, and that what no node writes is refused.
-func TestRecords(t *testing.T) {
-	f := WithCrashes(table.Fatal{}, "desk", []string{EndOf("e,1", time.UnixMilli(5)), "b@2"}, time.UnixMilli(7))
+// TestRecordRoundTrip checks that Decode returns the row that Encode was given, and refuses records that no node writes.
+func TestRecordRoundTrip(t *testing.T) {
+	f := WithCrashes(table.Fatal{}, "desk", []string{CrashID("e,1", time.UnixMilli(5)), "b@2"}, time.UnixMilli(7))
 	text, err := Encode(f)
 	if err != nil {
 		t.Fatal(err)
@@ -73,8 +75,8 @@
 	}
 }
 
-// BenchmarkContent is what each request pays at its ingress.
-func BenchmarkContent(b *testing.B) {
+// BenchmarkFingerprint measures what the ingress does for each request.
+func BenchmarkFingerprint(b *testing.B) {
 	body := make([]byte, 300)
 	b.ReportAllocs()
 	for range b.N {
@@ -82,11 +84,11 @@
 	}
 }
 
-// BenchmarkRecent is what each piece of good work pays at its endpoint's node.
+// BenchmarkRecent measures what the node beside an endpoint does for each request that succeeded.
 func BenchmarkRecent(b *testing.B) {
 	r, now := NewRecent(), time.Now()
 	b.ReportAllocs()
 	for i := range b.N {
-		r.Note(now, Fingerprint{byte(i), byte(i >> 8), byte(i >> 16)})
+		r.Add(now, Fingerprint{byte(i), byte(i >> 8), byte(i >> 16)})
 	}
 }
--- a/poison/recent.go
+++ b/poison/recent.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// mostRecent bounds the contents that are remembered as having run well: some seconds of one endpoint's work.
-const mostRecent = 1024
+// maxRecent bounds the fingerprints that a Recent remembers, some seconds of one endpoint's requests.
+const maxRecent = 1024
 
-// Recent remembers the contents that ran well lately: what an endpoint ran to a good end just before it ended is no more suspect
-// than any other. One goroutine owns it, or its owner locks it.
+// Recent remembers the fingerprints of requests that succeeded recently. A request that an endpoint ran successfully just before it
+// crashed is no more suspect than any other. Recent does not lock: the caller serializes access.
 type Recent struct {
-	at   map[Fingerprint]time.Time
-	ring [mostRecent]Fingerprint
-	next int
+	succeededAt map[Fingerprint]time.Time
+	ring        [maxRecent]Fingerprint
+	next        int
 }
 
-// NewRecent returns an empty memory.
-func NewRecent() *Recent { return &Recent{at: make(map[Fingerprint]time.Time, mostRecent)} }
+// NewRecent returns an empty Recent.
+func NewRecent() *Recent { return &Recent{succeededAt: make(map[Fingerprint]time.Time, maxRecent)} }
 
-// Note notes that a content has run well.
-func (r *Recent) Note(now time.Time, c Fingerprint) {
-	if _, ok := r.at[c]; !ok {
-		delete(r.at, r.ring[r.next])
-		r.ring[r.next] = c
-		r.next = (r.next + 1) % mostRecent
+// Add records that a request with this fingerprint succeeded.
+func (r *Recent) Add(now time.Time, f Fingerprint) {
+	if _, ok := r.succeededAt[f]; !ok {
+		delete(r.succeededAt, r.ring[r.next])
+		r.ring[r.next] = f
+		r.next = (r.next + 1) % maxRecent
 	}
-	r.at[c] = now
+	r.succeededAt[f] = now
 }
 
-// Within tells whether a content has run well within a time.
-func (r *Recent) Within(now time.Time, c Fingerprint, d time.Duration) bool {
-	at, ok := r.at[c]
+// SucceededWithin reports whether a request with this fingerprint succeeded within the last d.
+func (r *Recent) SucceededWithin(now time.Time, f Fingerprint, d time.Duration) bool {
+	at, ok := r.succeededAt[f]
 	return ok && now.Sub(at) <= d
 }
--- a/poison/record.go
+++ b/poison/record.go
@@ -13,38 +13,39 @@
 )
 
 const (
-	// Prefix starts the keys of the rows in the product's own table.
+	// KeyPrefix starts the keys of these rows in the product's table.
 	KeyPrefix = "fatal/"
-	// BarAfter is how many endpoints may end under a request before it is kept from all: what the users bear.
+	// BlockThreshold is how many endpoints may crash while they run a request before it is blocked: the most that users can bear.
 	BlockThreshold = 3
-	// SendOnce is from how many ends on a request that an endpoint may have had is not sent to a second one: the third end must
-	// not come of a second send, and what a sound request loses by it is one further try.
+	// NoRetryThreshold is the number of crashes from which a request that an endpoint may have received is not sent to another one: the
+	// third crash must not come from a second send. A harmless request loses one retry by it.
 	NoRetryThreshold = 1
-	// ForgetAfter is how long fewer ends are held against a request: a request that ends what runs it comes again within
-	// seconds, and an endpoint ends once in hours.
-	ForgetAfter = 10 * time.Minute
-	// mostEnds bounds the ends that a row names; beyond BarAfter they only tell operators more.
-	mostEnds = 8
+	// SuspicionDuration is how long fewer crashes than BlockThreshold count against a request. A poison request is repeated within
+	// seconds, while an endpoint crashes of itself once in hours.
+	SuspicionDuration = 10 * time.Minute
+	// maxCrashes bounds the crashes that a row lists. Those beyond BlockThreshold only inform operators.
+	maxCrashes = 8
 )
 
-// record is a row as the store keeps it.
+// record is a row as the store holds it.
 type record struct {
 	Service string       `json:"service"`
-	Ends    []string     `json:"ends"`
+	Crashes []string     `json:"ends"`
 	At      table.Moment `json:"at"`
 }
 
-// EndOf names an end among all: an endpoint that is a row of the table has the same key in each of its lives.
-func EndOf(endpoint string, at time.Time) string {
+// CrashID returns the name of a crash, unique among all crashes. It contains the time because an endpoint that is a row of the table has
+// the same key each time its process is started.
+func CrashID(endpoint string, at time.Time) string {
 	return strings.ReplaceAll(endpoint, ",", "_") + "@" + strconv.FormatInt(at.UnixMilli(), 10)
 }
 
-// WithEnds returns what is known of a request after more endpoints have ended; each counts once.
-func WithCrashes(f table.Fatal, service string, ends []string, at time.Time) table.Fatal {
+// WithCrashes returns a request's row with more crashes added. Each crash counts once.
+func WithCrashes(f table.Fatal, service string, crashes []string, at time.Time) table.Fatal {
 	list := f.Ends.List()
-	for _, end := range ends {
-		if len(list) < mostEnds && !slices.Contains(list, end) {
-			list = append(list, end)
+	for _, crash := range crashes {
+		if len(list) < maxCrashes && !slices.Contains(list, crash) {
+			list = append(list, crash)
 		}
 	}
 	f.Ends = table.NamesOf(list)
@@ -53,42 +54,43 @@
 	return f
 }
 
-// Barred tells whether a request is kept from all endpoints.
+// Blocked reports whether a request is sent to no endpoint any more.
 func Blocked(f table.Fatal) bool { return len(f.Ends.List()) >= BlockThreshold }
 
-// Forgotten tells whether what is known of a request no longer counts.
+// Expired reports whether the crashes recorded for a request no longer count.
 //
-// Invariant: a request that is barred stays so until an operator lifts it.
-func Forgotten(f table.Fatal, now time.Time) bool {
-	return !Blocked(f) && now.Sub(f.At.Time()) > ForgetAfter
+// Invariant: a blocked request stays blocked until an operator removes its row.
+func Expired(f table.Fatal, now time.Time) bool {
+	return !Blocked(f) && now.Sub(f.At.Time()) > SuspicionDuration
 }
 
-// KeyOf returns the key of a content's row in the store.
-func KeyOf(c Fingerprint) string { return KeyPrefix + c.String() }
+// KeyOf returns the key in the store of the row of a fingerprint.
+func KeyOf(f Fingerprint) string { return KeyPrefix + f.String() }
 
-// Encode returns what the store keeps of a request.
+// Encode returns a request's row as the store holds it.
 func Encode(f table.Fatal) ([]byte, error) {
-	text, err := json.Marshal(record{Service: f.Service, Ends: f.Ends.List(), At: f.At})
+	text, err := json.Marshal(record{Service: f.Service, Crashes: f.Ends.List(), At: f.At})
 	if err != nil {
-		return nil, fault.Wrap(err, fault.Internal, f.Service, "row cannot be encoded")
+		return nil, fault.Wrap(err, fault.Internal, f.Service, "row of a poison request cannot be encoded")
 	}
 	return text, nil
 }
 
-// Decode reads what the store keeps of a request, BadRow for what no node has written.
+// Decode decodes a request's row. It returns a BadRow fault for a row that no node has written.
 func Decode(rec platform.Record) (table.Fatal, error) {
 	var r record
 	if err := json.Unmarshal(rec.Value, &r); err != nil {
-		return table.Fatal{}, fault.Wrap(err, fault.BadRow, rec.Key, "row cannot be read")
+		return table.Fatal{}, fault.Wrap(err, fault.BadRow, rec.Key, "row of a poison request cannot be decoded")
 	}
-	bad := func(name string) bool { return name == "" || strings.ContainsAny(name, ", \t\r\n/") }
-	if bad(r.Service) || len(r.Ends) == 0 || len(r.Ends) > mostEnds || slices.ContainsFunc(r.Ends, bad) {
-		return table.Fatal{}, fault.New(fault.BadRow, rec.Key, "want a service and the endpoints that ended")
+	invalid := func(name string) bool { return name == "" || strings.ContainsAny(name, ", \t\r\n/") }
+	if invalid(r.Service) || len(r.Crashes) == 0 || len(r.Crashes) > maxCrashes || slices.ContainsFunc(r.Crashes, invalid) {
+		return table.Fatal{}, fault.New(fault.BadRow, rec.Key, "row of a poison request has an invalid service, invalid crash names, or too few or too many of them")
 	}
-	return table.Fatal{Service: r.Service, Ends: table.NamesOf(r.Ends), At: r.At}, nil
+	return table.Fatal{Service: r.Service, Ends: table.NamesOf(r.Crashes), At: r.At}, nil
 }
 
-// RowOf returns the row of a record of the store, or its removal; BadRow for what no node has written.
+// RowOf returns the table row of a record of the store, or the removal of that row if the record is deleted. It returns a BadRow fault for
+// a record that no node has written.
 func RowOf(rec platform.Record) (table.Row, error) {
 	key := strings.TrimPrefix(rec.Key, KeyPrefix)
 	meta := table.Meta{Version: rec.Version, Revision: rec.Version, Plane: table.PlaneFatal}
@@ -96,7 +98,7 @@
 		return table.Row{Kind: table.KindFatal, Key: key, Meta: meta, Deleted: true}, nil
 	}
 	if _, ok := ParseFingerprint(key); !ok {
-		return table.Row{}, fault.New(fault.BadRow, rec.Key, "want a content as the key")
+		return table.Row{}, fault.New(fault.BadRow, rec.Key, "key of a poison request's row is not a fingerprint")
 	}
 	f, err := Decode(rec)
 	if err != nil {
--- a/quarantine/innocent_test.go
+++ b/quarantine/innocent_test.go
@@ -103,7 +103,7 @@
 	}
 	n.down = f.now + simDown
 	for _, w := range f.work[n] {
-		if !f.recent(n).Within(f.time(), w.content, ranWithin) {
+		if !f.recent(n).SucceededWithin(f.time(), w.content, ranWithin) {
 			f.after(endSeen, func() { f.ended(n, w.content) })
 		}
 	}
@@ -124,7 +124,7 @@
 			if w.ends > f.now {
 				return false
 			}
-			f.recent(n).Note(f.time(), w.content)
+			f.recent(n).Add(f.time(), w.content)
 			if n.known.of(w.content).Ends != "" {
 				f.cleared(n, w.content)
 				if f.object != nil {
@@ -138,7 +138,7 @@
 
 // ranHere has a node that has seen a content run well say so.
 func (f *innocentDay) ranHere(n *simNode, c poison.Fingerprint) bool {
-	if !f.recent(n).Within(f.time(), c, ranWithin) {
+	if !f.recent(n).SucceededWithin(f.time(), c, ranWithin) {
 		return false
 	}
 	f.cleared(n, c)
--- a/quarantine/keeper.go
+++ b/quarantine/keeper.go
@@ -120,7 +120,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
-	k.ran.Note(now, c)
+	k.ran.Add(now, c)
 	if k.Ends(c) > 0 {
 		k.acquit(now, c)
 	}
@@ -164,11 +164,11 @@
 // EndedHere takes it that the endpoint beside this node ended while it ran some contents.
 func (k *Tracker) EndedHere(endpoint, service string, contents []poison.Fingerprint) {
 	now := time.Now()
-	end := poison.EndOf(endpoint, now)
+	end := poison.CrashID(endpoint, now)
 	word := &peerpb.Ended{End: end, Service: service, AtMillis: now.UnixMilli()}
 	k.mu.Lock()
 	for _, c := range contents {
-		if c == (poison.Fingerprint{}) || k.ran.Within(now, c, ranWithin) || !k.known.hear(now, c, service, end, now) {
+		if c == (poison.Fingerprint{}) || k.ran.SucceededWithin(now, c, ranWithin) || !k.known.hear(now, c, service, end, now) {
 			continue
 		}
 		k.own[c] = true
@@ -203,7 +203,7 @@
 		if !ok || !k.known.hear(now, c, word.GetService(), word.GetEnd(), at) {
 			continue
 		}
-		if k.ran.Within(now, c, ranWithin) {
+		if k.ran.SucceededWithin(now, c, ranWithin) {
 			// It ran well here just now. Without this word, 143 in a million requests are held back in drawn fleets, of those that many ask for,
 			// where a third of the endpoints end at once now and then; with it none in 1.3 million.
 			k.acquit(now, c)
--- a/quarantine/known.go
+++ b/quarantine/known.go
@@ -127,7 +127,7 @@
 
 // forget drops what no longer counts by word alone.
 func (k *known) forget(now time.Time) {
-	maps.DeleteFunc(k.word, func(_ poison.Fingerprint, h heard) bool { return poison.Forgotten(h.Fatal, now) })
+	maps.DeleteFunc(k.word, func(_ poison.Fingerprint, h heard) bool { return poison.Expired(h.Fatal, now) })
 }
 
 // ends returns how many ends are known of each content.
--- a/quarantine/sim_test.go
+++ b/quarantine/sim_test.go
@@ -161,7 +161,7 @@
 		return
 	}
 	f.named++
-	name := poison.EndOf(fmt.Sprint("e", f.named), f.time())
+	name := poison.CrashID(fmt.Sprint("e", f.named), f.time())
 	if !n.known.hear(f.time(), c, simService, name, f.time()) {
 		return
 	}
--- a/quarantine/write.go
+++ b/quarantine/write.go
@@ -63,7 +63,7 @@
 	maps.DeleteFunc(k.own, func(c poison.Fingerprint, _ bool) bool { return k.known.word[c].Ends == "" })
 	maps.DeleteFunc(k.clear, func(_ poison.Fingerprint, at time.Time) bool { return now.Sub(at) > ranWithin })
 	for c, row := range k.known.rows {
-		if poison.Forgotten(row.Value, now) && k.rank(c, hosts) == 0 {
+		if poison.Expired(row.Value, now) && k.rank(c, hosts) == 0 {
 			k.clear[c] = now
 		}
 	}
--- a/quota/holder.go
+++ b/quota/holder.go
@@ -54,9 +54,7 @@
 
 // NewHolder returns a Holder without allotments.
 func NewHolder(cfg HolderConfig) *Holder {
-	return &Holder{
-		cfg: cfg, customers: NewPerCustomer[*customerState](nil), unresponsiveUntil: make(map[string]time.Time),
-	}
+	return &Holder{cfg: cfg, customers: NewPerCustomer[*customerState](nil), unresponsiveUntil: make(map[string]time.Time)}
 }
 
 func (h *Holder) customer(name string) *customerState {
--- a/quota/sim_test.go
+++ b/quota/sim_test.go
@@ -142,9 +142,8 @@
 		f.takenOver = n.list
 	}
 	if !f.longCuts && n.list < f.takenOver && !slices.Contains(f.lists[f.takenOver].Owners(simCustomer), n.host) {
-		f.violations = append(f.violations, fmt.Sprintf(
-			"%v: %s grants by list %d, but list %d gave its share to a new owner", f.now, n.host.ID, n.list, f.takenOver,
-		))
+		f.violations = append(f.violations, fmt.Sprintf("%v: %s grants by list %d, but list %d gave its share to a new owner",
+			f.now, n.host.ID, n.list, f.takenOver))
 	}
 }
 
