--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -1,3 +1,4 @@
-// Package quarantine keeps requests that end the endpoints that run them from all endpoints: it gathers what this node and its peers
-// have seen, keeps it in the product's own table, and tells the node's other parts what is known of a request.
+// Package quarantine blocks poison requests, those that crash the endpoints that run them. It collects the crashes that this node and its
+// peers have observed, records them in the product's table, and reports to the node's other components how many crashes a request has
+// caused.
 package quarantine
--- a/quarantine/innocent_test.go
+++ b/quarantine/innocent_test.go
@@ -11,56 +11,57 @@
 	"github.com/lynxplank/lynxplank/poison"
 )
 
-// simWork is one request under way at an endpoint.
-type simWork struct {
-	content poison.Fingerprint
-	ends    time.Duration
+// simRequest is one request in flight at an endpoint.
+type simRequest struct {
+	fingerprint poison.Fingerprint
+	finishesAt  time.Duration
 }
 
-// innocentDay is a fleet in which endpoints end by themselves, alone and a third of them at once, and no request ends any. Some of what callers
-// ask for is the same for many, and whoever gets no answer comes back with the same up to four times.
-type innocentDay struct {
+// innocentFleet is a fleet in which endpoints crash of themselves, singly and a third of them at once, and no request crashes any. Many callers
+// send some of the same requests, and a caller that gets no answer repeats its request up to four times.
+type innocentFleet struct {
 	*simFleet
-	// work is what is under way at each node's endpoint, ran what ran well there lately.
-	work map[*simNode][]simWork
-	ran  map[*simNode]*poison.Recent
-	// asked counts the requests, held those that were kept from all although they do no harm.
-	asked, held int
+	// inFlight has the requests in flight at each node's endpoint, succeeded the requests that succeeded there recently.
+	inFlight  map[*simNode][]simRequest
+	succeeded map[*simNode]*poison.Recent
+	// asked counts the requests, blockedCount those of them that were blocked although they are harmless.
+	asked, blockedCount int
 }
 
-// drawInnocent prints what is held back of requests that do no harm, per million.
-func drawInnocent(d *datadriven.TestData, days, least, most int) string {
-	asked, held, seeds := 0, 0, 0
+// drawInnocent prints how many harmless requests are blocked, in total and per million.
+func drawInnocent(d *datadriven.TestData, days, minNodes, maxNodes int) string {
+	asked, blocked, seeds := 0, 0, 0
 	for seed := range days {
 		random := rand.New(rand.NewPCG(uint64(seed), 11))
-		day := &innocentDay{
-			simFleet: newSimFleet(random, least+random.IntN(most-least+1)), work: make(map[*simNode][]simWork), ran: make(map[*simNode]*poison.Recent),
+		day := &innocentFleet{
+			simFleet: newSimFleet(random, minNodes+random.IntN(maxNodes-minNodes+1)),
+			inFlight: make(map[*simNode][]simRequest), succeeded: make(map[*simNode]*poison.Recent),
 		}
 		if !d.HasArg("mute") {
-			day.object = day.ranHere
+			day.onReport = day.reportIfSucceeded
 		}
-		day.live(!d.HasArg("calm"))
-		asked, held = asked+day.asked, held+day.held
-		if day.held > 0 {
+		day.run(!d.HasArg("calm"))
+		asked, blocked = asked+day.asked, blocked+day.blockedCount
+		if day.blockedCount > 0 {
 			seeds++
 		}
 	}
-	return fmt.Sprintf("%d of %d requests held back, %.1f in a million, in %d of %d days\n", held, asked, 1e6*float64(held)/float64(asked), seeds, days)
+	return fmt.Sprintf("%d of %d requests held back, %.1f in a million, in %d of %d days\n", blocked, asked, 1e6*float64(blocked)/float64(asked), seeds, days)
 }
 
-func (f *innocentDay) live(troubles bool) {
+func (f *innocentFleet) run(faults bool) {
 	common := 1 + f.random.IntN(20)
 	for i := 0; f.now < 30*time.Second; i++ {
-		if troubles {
-			f.trouble()
+		if faults {
+			f.injectFault()
 		}
 		if f.random.IntN(100) == 0 {
-			f.end(f.nodes[f.random.IntN(len(f.nodes))])
+			f.crash(f.nodes[f.random.IntN(len(f.nodes))])
 		}
 		if f.random.IntN(1000) == 0 {
 			for _, n := range f.nodes {
 				if f.random.IntN(3) == 0 {
-					f.end(n)
+					f.crash(n)
 				}
 			}
 		}
@@ -74,61 +75,61 @@
 	}
 }
 
-// ask has a caller ask for something at some node, which sends it to some endpoint.
-func (f *innocentDay) ask(c poison.Fingerprint, again int) {
+// ask simulates a caller that sends a request to a random node, which passes it to a random endpoint.
+func (f *innocentFleet) ask(c poison.Fingerprint, retries int) {
 	f.asked++
 	n, to := f.nodes[f.random.IntN(len(f.nodes))], f.nodes[f.random.IntN(len(f.nodes))]
-	if !f.reaches(n) || !f.reaches(to) || to.down > f.now {
+	if !f.reaches(n) || !f.reaches(to) || to.downUntil > f.now {
 		return
 	}
-	if f.barred(n, c) || f.barred(to, c) {
-		f.held++
+	if f.blocked(n, c) || f.blocked(to, c) {
+		f.blockedCount++
 		return
 	}
-	f.work[to] = append(f.work[to], simWork{content: c, ends: f.now + time.Duration(20+f.random.IntN(400))*time.Millisecond})
-	if again < 4 {
+	f.inFlight[to] = append(f.inFlight[to], simRequest{fingerprint: c, finishesAt: f.now + time.Duration(20+f.random.IntN(400))*time.Millisecond})
+	if retries < 4 {
 		started := f.now
 		f.after(time.Second, func() {
-			if to.down > started && to.down < started+simDown+time.Second {
-				f.ask(c, again+1)
+			if to.downUntil > started && to.downUntil < started+simDown+time.Second {
+				f.ask(c, retries+1)
 			}
 		})
 	}
 }
 
-// end ends a node's endpoint with all that it has.
-func (f *innocentDay) end(n *simNode) {
-	if n.down > f.now {
+// crash crashes the endpoint beside a node, with all requests in flight there.
+func (f *innocentFleet) crash(n *simNode) {
+	if n.downUntil > f.now {
 		return
 	}
-	n.down = f.now + simDown
-	for _, w := range f.work[n] {
-		if !f.recent(n).SucceededWithin(f.time(), w.content, ranWithin) {
-			f.after(endSeen, func() { f.ended(n, w.content) })
+	n.downUntil = f.now + simDown
+	for _, w := range f.inFlight[n] {
+		if !f.recent(n).SucceededWithin(f.time(), w.fingerprint, recentSuccessWindow) {
+			f.after(crashDetection, func() { f.crashed(n, w.fingerprint) })
 		}
 	}
-	f.work[n] = nil
+	f.inFlight[n] = nil
 }
 
-func (f *innocentDay) recent(n *simNode) *poison.Recent {
-	if f.ran[n] == nil {
-		f.ran[n] = poison.NewRecent()
+func (f *innocentFleet) recent(n *simNode) *poison.Recent {
+	if f.succeeded[n] == nil {
+		f.succeeded[n] = poison.NewRecent()
 	}
-	return f.ran[n]
+	return f.succeeded[n]
 }
 
-// finish ends the work whose time has come: what ran well is no longer suspect.
-func (f *innocentDay) finish() {
+// finish completes the requests that are due; their success clears them of suspicion.
+func (f *innocentFleet) finish() {
 	for _, n := range f.nodes {
-		f.work[n] = slices.DeleteFunc(f.work[n], func(w simWork) bool {
-			if w.ends > f.now {
+		f.inFlight[n] = slices.DeleteFunc(f.inFlight[n], func(w simRequest) bool {
+			if w.finishesAt > f.now {
 				return false
 			}
-			f.recent(n).Add(f.time(), w.content)
-			if n.known.of(w.content).Ends != "" {
-				f.cleared(n, w.content)
-				if f.object != nil {
-					f.tellRan(n, w.content, min(simLinks, len(f.nodes)))
+			f.recent(n).Add(f.time(), w.fingerprint)
+			if n.view.get(w.fingerprint).Ends != "" {
+				f.cleared(n, w.fingerprint)
+				if f.onReport != nil {
+					f.reportSuccess(n, w.fingerprint, min(simLinks, len(f.nodes)))
 				}
 			}
 			return true
@@ -136,37 +137,37 @@
 	}
 }
 
-// ranHere has a node that has seen a content run well say so.
-func (f *innocentDay) ranHere(n *simNode, c poison.Fingerprint) bool {
-	if !f.recent(n).SucceededWithin(f.time(), c, ranWithin) {
+// reportIfSucceeded reports the success of a request at a node if it succeeded there recently, and returns whether it did.
+func (f *innocentFleet) reportIfSucceeded(n *simNode, c poison.Fingerprint) bool {
+	if !f.recent(n).SucceededWithin(f.time(), c, recentSuccessWindow) {
 		return false
 	}
 	f.cleared(n, c)
-	f.tellRan(n, c, min(simLinks, len(f.nodes)))
+	f.reportSuccess(n, c, min(simLinks, len(f.nodes)))
 	return true
 }
 
-// tellRan tells some others, who pass on what is news to them.
-func (f *innocentDay) tellRan(n *simNode, c poison.Fingerprint, most int) {
-	for range most {
+// reportSuccess reports the success of a request to random nodes, which forward the report if it is new to them.
+func (f *innocentFleet) reportSuccess(n *simNode, c poison.Fingerprint, receivers int) {
+	for range receivers {
 		to := f.nodes[f.random.IntN(len(f.nodes))]
 		if !f.reaches(n) || f.random.IntN(20) == 0 {
 			continue
 		}
 		f.after(time.Duration(1+f.random.IntN(40))*time.Millisecond, func() {
-			if f.reaches(to) && to.known.lift(c, to.known.of(c)) {
+			if f.reaches(to) && to.view.clear(c, to.view.get(c)) {
 				f.cleared(to, c)
-				f.tellRan(to, c, passOn)
+				f.reportSuccess(to, c, gossipFanout)
 			}
 		})
 	}
 }
 
-// cleared has a node take out the row of what ran well, unless that says more by then.
-func (f *innocentDay) cleared(n *simNode, c poison.Fingerprint) {
-	n.known.lift(c, n.known.of(c))
-	version := n.known.rows[c].Version
-	if version == 0 || f.away > f.now {
+// cleared makes a node remove the row of a request that succeeded, unless the row has changed by then.
+func (f *innocentFleet) cleared(n *simNode, c poison.Fingerprint) {
+	n.view.clear(c, n.view.get(c))
+	version := n.view.rows[c].Version
+	if version == 0 || f.storeDownUntil > f.now {
 		return
 	}
 	f.after(time.Duration(5+f.random.IntN(40))*time.Millisecond, func() {
--- a/quarantine/sim_test.go
+++ b/quarantine/sim_test.go
@@ -12,17 +12,18 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// The simulated fleets hand requests that end endpoints to them, tell each other, write rows, stand still, start anew and are cut off,
-// over virtual time. Only what begins to run counts.
+// The nodes of the simulated fleets send poison requests to endpoints, report crashes to each other, write rows, freeze, restart and are cut
+// off, in virtual time. The tests check the requests that begin to run.
 const (
 	simTick = 10 * time.Millisecond
-	// simTouch is how long nothing must have disturbed a node for the bound to hold for it.
-	simTouch = 3 * time.Second
-	// simDown is how long an endpoint that ended is gone.
+	// simRecovery is how long a node must have been without a fault for the bound to hold for it.
+	simRecovery = 3 * time.Second
+	// simDown is how long an endpoint is down after a crash.
 	simDown = 3 * time.Second
-	// simRow is the longest time in which a row reaches a node that is not disturbed: a look, its gathering and a pull.
-	simRow = 1500 * time.Millisecond
-	// simLinks is to how many others a node of a large fleet has links.
+	// simRowDelay is the maximum time in which a row reaches a node without faults: the node's peer polls the store, collects the changes,
+	// and the node pulls them.
+	simRowDelay = 1500 * time.Millisecond
+	// simLinks is how many links a node of a large fleet has.
 	simLinks   = 24
 	simService = "docket-desk"
 )
@@ -32,38 +33,38 @@
 
 // simNode is one node with the endpoint beside it.
 type simNode struct {
-	known *known
-	own   map[poison.Fingerprint]bool
-	// down is until when the endpoint is gone, frozen and cut until when the node stands still and reaches nobody, quiet since when
-	// nothing has disturbed it.
-	down, frozen, cut, quiet time.Duration
-	// shown is the newest state of the rows that it has seen: one never goes back to an older state.
-	shown uint64
+	view    *view
+	toWrite map[poison.Fingerprint]bool
+	// downUntil is until when the endpoint is down, frozenUntil until when the node does nothing, cutUntil until when it reaches no other
+	// node, and faultyUntil when its last fault ends.
+	downUntil, frozenUntil, cutUntil, faultyUntil time.Duration
+	// rowsState is the newest state of the rows that the node has received: it never goes back to an older one.
+	rowsState uint64
 }
 
-// simFleet is a fleet over virtual time.
+// simFleet is a fleet in virtual time.
 type simFleet struct {
 	random *rand.Rand
 	nodes  []*simNode
 	now    time.Duration
-	later  []simEvent
-	// store is the rows, away until when the store says nothing, stable since when it does.
-	store   map[poison.Fingerprint]table.Entry[table.Fatal]
-	away    time.Duration
-	stable  time.Duration
-	version uint64
-	// states counts the states of the rows.
+	events []simEvent
+	// store has the rows. storeDownUntil is until when the store does not answer, storeUpSince since when it has.
+	store          map[poison.Fingerprint]table.Entry[table.Fatal]
+	storeDownUntil time.Duration
+	storeUpSince   time.Duration
+	version        uint64
+	// states counts the changes of the rows.
 	states uint64
-	// object tells whether a node that hears of a content has seen it run well, and then says so.
-	object func(n *simNode, c poison.Fingerprint) bool
-	// alone has each node count for itself, as a way to compare with.
+	// onReport is called when a node receives a report. It returns true if the request succeeded at that node, which then reports that.
+	onReport func(n *simNode, c poison.Fingerprint) bool
+	// alone makes each node count only the crashes of its own endpoint, for comparison.
 	alone bool
-	// ends are the times at which endpoints ended under each content, late how many began it past the bound.
-	ends map[poison.Fingerprint][]time.Duration
-	late map[poison.Fingerprint]int
-	ran  int
-	// named counts the ends that were told.
-	named int
+	// crashedAt has the times of the crashes that each request caused, late how many copies of it began to run past the bound.
+	crashedAt map[poison.Fingerprint][]time.Duration
+	late      map[poison.Fingerprint]int
+	ran       int
+	// crashIDs counts the crashes that nodes have reported, for their names.
+	crashIDs int
 }
 
 type simEvent struct {
@@ -74,10 +75,10 @@
 func newSimFleet(random *rand.Rand, nodes int) *simFleet {
 	f := &simFleet{
 		random: random, store: make(map[poison.Fingerprint]table.Entry[table.Fatal]),
-		ends: make(map[poison.Fingerprint][]time.Duration), late: make(map[poison.Fingerprint]int),
+		crashedAt: make(map[poison.Fingerprint][]time.Duration), late: make(map[poison.Fingerprint]int),
 	}
 	for range nodes {
-		f.nodes = append(f.nodes, &simNode{known: newKnown(), own: make(map[poison.Fingerprint]bool)})
+		f.nodes = append(f.nodes, &simNode{view: newView(), toWrite: make(map[poison.Fingerprint]bool)})
 	}
 	return f
 }
@@ -85,180 +86,182 @@
 func (f *simFleet) time() time.Time { return simStart.Add(f.now) }
 
 func (f *simFleet) after(d time.Duration, run func()) {
-	f.later = append(f.later, simEvent{at: f.now + d, run: run})
+	f.events = append(f.events, simEvent{at: f.now + d, run: run})
 }
 
-// step lets a tick pass.
+// step advances the time by a tick and runs the events that are due.
 func (f *simFleet) step() {
 	f.now += simTick
-	due := f.later
-	f.later = nil
-	slices.SortStableFunc(due, func(a, b simEvent) int { return cmp.Compare(a.at, b.at) })
-	for _, e := range due {
+	pending := f.events
+	f.events = nil
+	slices.SortStableFunc(pending, func(a, b simEvent) int { return cmp.Compare(a.at, b.at) })
+	for _, e := range pending {
 		if e.at > f.now {
-			f.later = append(f.later, e)
+			f.events = append(f.events, e)
 			continue
 		}
 		e.run()
 	}
 }
 
-func (f *simFleet) up(n *simNode) bool      { return n.frozen <= f.now }
-func (f *simFleet) reaches(n *simNode) bool { return f.up(n) && n.cut <= f.now }
+func (f *simFleet) up(n *simNode) bool      { return n.frozenUntil <= f.now }
+func (f *simFleet) reaches(n *simNode) bool { return f.up(n) && n.cutUntil <= f.now }
 
-// barred tells whether a node keeps a content from all.
-func (f *simFleet) barred(n *simNode, c poison.Fingerprint) bool {
-	return poison.Blocked(n.known.of(c))
+// blocked reports whether a node blocks a request.
+func (f *simFleet) blocked(n *simNode, c poison.Fingerprint) bool {
+	return poison.Blocked(n.view.get(c))
 }
 
-// arrive brings a request to a node, which sends it to endpoints of others or its own.
+// arrive simulates the arrival of a request at a node, which sends it to the endpoint beside it or beside another node.
 func (f *simFleet) arrive(n *simNode, c poison.Fingerprint) {
-	if !f.up(n) || f.barred(n, c) {
+	if !f.up(n) || f.blocked(n, c) {
 		return
 	}
 	f.send(n, c, 0)
 }
 
-// send hands the request to a free endpoint; once that has ended it goes to a second one, if the policy allows.
-func (f *simFleet) send(n *simNode, c poison.Fingerprint, sent int) {
+// send sends a request to a random endpoint; after that has crashed it retries it once, if the policy allows that.
+func (f *simFleet) send(n *simNode, c poison.Fingerprint, retries int) {
 	to := f.nodes[f.random.IntN(len(f.nodes))]
 	if !f.reaches(to) || !f.reaches(n) {
 		to = n
 	}
-	if to.down > f.now || f.barred(to, c) || f.barred(n, c) {
+	if to.downUntil > f.now || f.blocked(to, c) || f.blocked(n, c) {
 		return
 	}
 	f.begin(n, to, c)
 	f.after(time.Duration(30+f.random.IntN(90))*time.Millisecond, func() {
-		if to.down <= f.now {
-			to.down = f.now + simDown
-			f.ends[c] = append(f.ends[c], f.now)
-			f.after(endSeen, func() { f.ended(to, c) })
+		if to.downUntil <= f.now {
+			to.downUntil = f.now + simDown
+			f.crashedAt[c] = append(f.crashedAt[c], f.now)
+			f.after(crashDetection, func() { f.crashed(to, c) })
 		}
-		if sent == 0 && len(n.known.of(c).Ends.List()) < poison.NoRetryThreshold && f.up(n) {
+		if retries == 0 && len(n.view.get(c).Ends.List()) < poison.NoRetryThreshold && f.up(n) {
 			f.send(n, c, 1)
 		}
 	})
 }
 
-// endSeen is how long a node takes to tell that its endpoint has ended.
-const endSeen = 60 * time.Millisecond
+// crashDetection is how long a node takes to detect that its endpoint has crashed.
+const crashDetection = 60 * time.Millisecond
 
-// begin counts what begins to run past the bound, sent and taken by nodes that nothing has disturbed.
+// begin counts a request that begins to run. It counts it as past the bound if it had caused enough crashes before and neither the nodes
+// nor the store had faults since.
 func (f *simFleet) begin(from, to *simNode, c poison.Fingerprint) {
 	f.ran++
-	ends := f.ends[c]
-	touched := f.now - simTouch
-	if len(ends) >= poison.BlockThreshold && ends[poison.BlockThreshold-1] < touched && from.quiet < touched && to.quiet < touched && f.stable < touched {
+	crashes := f.crashedAt[c]
+	since := f.now - simRecovery
+	if len(crashes) >= poison.BlockThreshold && crashes[poison.BlockThreshold-1] < since &&
+		from.faultyUntil < since && to.faultyUntil < since && f.storeUpSince < since {
 		f.late[c]++
 	}
 }
 
-// ended has the node beside an endpoint that ended tell the others and write the row.
-func (f *simFleet) ended(n *simNode, c poison.Fingerprint) {
+// crashed makes the node beside an endpoint that crashed report that to others and write the row.
+func (f *simFleet) crashed(n *simNode, c poison.Fingerprint) {
 	if !f.up(n) {
-		f.after(n.frozen-f.now, func() { f.ended(n, c) })
+		f.after(n.frozenUntil-f.now, func() { f.crashed(n, c) })
 		return
 	}
-	f.named++
-	name := poison.CrashID(fmt.Sprint("e", f.named), f.time())
-	if !n.known.hear(f.time(), c, simService, name, f.time()) {
+	f.crashIDs++
+	id := poison.CrashID(fmt.Sprint("e", f.crashIDs), f.time())
+	if !n.view.addReport(f.time(), c, simService, id, f.time()) {
 		return
 	}
-	n.own[c] = true
+	n.toWrite[c] = true
 	f.write(n, c)
 	if f.alone {
 		return
 	}
-	f.tell(n, c, name, f.time(), min(simLinks, len(f.nodes)))
+	f.report(n, c, id, f.time(), min(simLinks, len(f.nodes)))
 }
 
-// tell tells some others, who pass on what is news to them; one word in twenty is lost.
-func (f *simFleet) tell(n *simNode, c poison.Fingerprint, name string, at time.Time, most int) {
+// report reports a crash to random nodes, which forward the report if it is new to them. One report in twenty is lost.
+func (f *simFleet) report(n *simNode, c poison.Fingerprint, id string, at time.Time, receivers int) {
 	if !f.reaches(n) {
 		return
 	}
-	for range most {
+	for range receivers {
 		to := f.nodes[f.random.IntN(len(f.nodes))]
 		if f.random.IntN(20) == 0 {
 			continue
 		}
 		f.after(time.Duration(1+f.random.IntN(40))*time.Millisecond, func() {
-			if !f.reaches(to) || !to.known.hear(f.time(), c, simService, name, at) {
+			if !f.reaches(to) || !to.view.addReport(f.time(), c, simService, id, at) {
 				return
 			}
-			if f.object != nil && f.object(to, c) {
+			if f.onReport != nil && f.onReport(to, c) {
 				return
 			}
-			f.tell(to, c, name, at, passOn)
+			f.report(to, c, id, at, gossipFanout)
 		})
 	}
 }
 
-// write has a node write what it has seen, again and again while the store says nothing.
+// write makes a node write the crashes in its view to the row, and retry while the store is down.
 func (f *simFleet) write(n *simNode, c poison.Fingerprint) {
-	if f.alone || !n.own[c] {
+	if f.alone || !n.toWrite[c] {
 		return
 	}
-	if f.away > f.now || !f.reaches(n) {
+	if f.storeDownUntil > f.now || !f.reaches(n) {
 		f.after(time.Duration(200+f.random.IntN(800))*time.Millisecond, func() { f.write(n, c) })
 		return
 	}
 	f.after(time.Duration(5+f.random.IntN(40))*time.Millisecond, func() {
-		word := n.known.of(c)
-		if word.Ends == "" {
+		fatal := n.view.get(c)
+		if fatal.Ends == "" {
 			return
 		}
 		f.version++
 		row := f.store[c]
-		row.Value = poison.WithCrashes(row.Value, word.Service, word.Ends.List(), word.At.Time())
+		row.Value = poison.WithCrashes(row.Value, fatal.Service, fatal.Ends.List(), fatal.At.Time())
 		row.Version = f.version
 		f.store[c] = row
-		delete(n.own, c)
+		delete(n.toWrite, c)
 		f.publish()
 	})
 }
 
-// publish brings the rows to every node some time later.
+// publish passes the rows to every node after a random delay.
 func (f *simFleet) publish() {
 	f.states++
 	rows, state := maps.Clone(f.store), f.states
 	for _, n := range f.nodes {
-		f.after(time.Duration(f.random.Int64N(int64(simRow))), func() { f.show(n, state, rows) })
+		f.after(time.Duration(f.random.Int64N(int64(simRowDelay))), func() { f.show(n, state, rows) })
 	}
 }
 
-// show brings rows to a node once it can hear of them.
+// show passes rows to a node once it can receive them.
 func (f *simFleet) show(n *simNode, state uint64, rows map[poison.Fingerprint]table.Entry[table.Fatal]) {
-	if !f.reaches(n) || f.away > f.now {
-		wait := max(n.frozen, n.cut, f.away) - f.now
-		f.after(wait+time.Duration(f.random.Int64N(int64(simRow))), func() { f.show(n, state, rows) })
+	if !f.reaches(n) || f.storeDownUntil > f.now {
+		wait := max(n.frozenUntil, n.cutUntil, f.storeDownUntil) - f.now
+		f.after(wait+time.Duration(f.random.Int64N(int64(simRowDelay))), func() { f.show(n, state, rows) })
 		return
 	}
-	if state > n.shown {
-		n.shown = state
-		n.known.show(rows)
+	if state > n.rowsState {
+		n.rowsState = state
+		n.view.setRows(rows)
 	}
 }
 
-// trouble draws what may happen to a fleet within a tick.
-func (f *simFleet) trouble() {
+// injectFault draws the fault, if any, that happens in a tick.
+func (f *simFleet) injectFault() {
 	n := f.nodes[f.random.IntN(len(f.nodes))]
 	length := time.Duration(f.random.Int64N(int64(4 * time.Second)))
 	switch f.random.IntN(200) {
 	case 0:
-		// It stands still; whether its clock does too changes nothing: what it knows has no term.
-		n.frozen = f.now + length
-		f.disturb(n, n.frozen)
+		// The node freezes. Whether its clock stops too makes no difference, because its view does not expire within the test.
+		n.frozenUntil = f.now + length
+		f.markFaulty(n, n.frozenUntil)
 	case 1:
-		n.cut = f.now + length
-		f.disturb(n, n.cut)
+		n.cutUntil = f.now + length
+		f.markFaulty(n, n.cutUntil)
 	case 2:
 		f.restart(n)
 	case 3:
 		if f.random.IntN(4) == 0 {
-			f.away = f.now + length
-			f.stable = f.away
+			f.storeDownUntil = f.now + length
+			f.storeUpSince = f.storeDownUntil
 		}
 	case 4:
 		if f.random.IntN(10) == 0 {
@@ -271,15 +274,17 @@
 	}
 }
 
-func (f *simFleet) disturb(n *simNode, until time.Duration) { n.quiet = max(n.quiet, until) }
+func (f *simFleet) markFaulty(n *simNode, until time.Duration) {
+	n.faultyUntil = max(n.faultyUntil, until)
+}
 
-// restart has a node start anew with what the store holds, once that answers.
+// restart restarts a node, which starts with the rows in the store once that answers.
 func (f *simFleet) restart(n *simNode) {
-	n.known, n.own, n.shown = newKnown(), make(map[poison.Fingerprint]bool), 0
-	n.frozen = max(f.now+300*time.Millisecond, f.away)
-	f.disturb(n, n.frozen)
-	f.after(n.frozen-f.now, func() {
-		n.shown = f.states
-		n.known.show(maps.Clone(f.store))
+	n.view, n.toWrite, n.rowsState = newView(), make(map[poison.Fingerprint]bool), 0
+	n.frozenUntil = max(f.now+300*time.Millisecond, f.storeDownUntil)
+	f.markFaulty(n, n.frozenUntil)
+	f.after(n.frozenUntil-f.now, func() {
+		n.rowsState = f.states
+		n.view.setRows(maps.Clone(f.store))
 	})
 }
--- a/quarantine/write.go
+++ b/quarantine/write.go
@@ -16,141 +16,143 @@
 )
 
 const (
-	// mostMerges bounds how often a write is made anew over what others have written meanwhile: with two nodes that see an end of
-	// the same content at once, one of them writes twice.
-	mostMerges = 8
-	// mostTurns is how many nodes in turn take on a row that nobody has written.
-	mostTurns = 4
-	// mostRows bounds the rows of one transaction.
-	mostRows = platform.MostEntries / 2
+	// maxMerges bounds how often a write is retried after a conflict with the write of another node. If two nodes write a crash of the same
+	// fingerprint at once, one of them writes twice.
+	maxMerges = 8
+	// maxWriters is how many nodes, one after the other, may take over a row that the node that observed the crash has not written.
+	maxWriters = 4
+	// maxRows bounds the rows in one transaction, each of which takes a check and a write.
+	maxRows = platform.MostEntries / 2
 )
 
-// run keeps the rows as they should be until the node stops.
-func (k *Tracker) run(ctx context.Context) {
-	defer close(k.done)
-	tick := time.NewTicker(lookEvery)
+// run writes and removes rows until the node stops.
+func (t *Tracker) run(ctx context.Context) {
+	defer close(t.done)
+	tick := time.NewTicker(maintenanceInterval)
 	defer tick.Stop()
-	failing := retry.Backoff{First: k.cfg.RetryInterval, Most: k.cfg.MaxRetryInterval}
-	var again <-chan time.Time
+	backoff := retry.Backoff{First: t.cfg.RetryInterval, Most: t.cfg.MaxRetryInterval}
+	var retryDue <-chan time.Time
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-k.wake:
-		case <-again:
+		case <-t.wake:
+		case <-retryDue:
 		case <-tick.C:
-			k.tidy(time.Now())
+			t.maintain(time.Now())
 		}
-		again = nil
-		if err := k.write(ctx); err != nil {
-			events.FatalNotWritten.Log(k.log).Err(err).Send()
-			again = time.After(failing.Next())
+		retryDue = nil
+		if err := t.write(ctx); err != nil {
+			events.FatalNotWritten.Log(t.log).Err(err).Send()
+			retryDue = time.After(backoff.Next())
 			continue
 		}
-		failing.Reset()
+		backoff.Reset()
 	}
 }
 
-// tidy drops what no longer counts, and takes it on to write what whoever saw it has not written: that node may be gone.
-func (k *Tracker) tidy(now time.Time) {
-	hosts := k.snapshot().Hosts
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.known.empty() && len(k.clear) == 0 {
+// maintain drops what has expired, and takes over the writing of crashes that the node that observed them has not written: that node may
+// be down.
+func (t *Tracker) maintain(now time.Time) {
+	hosts := t.snapshot().Hosts
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.view.isEmpty() && len(t.toRemove) == 0 {
 		return
 	}
-	k.known.forget(now)
-	maps.DeleteFunc(k.own, func(c poison.Fingerprint, _ bool) bool { return k.known.word[c].Ends == "" })
-	maps.DeleteFunc(k.clear, func(_ poison.Fingerprint, at time.Time) bool { return now.Sub(at) > ranWithin })
-	for c, row := range k.known.rows {
-		if poison.Expired(row.Value, now) && k.rank(c, hosts) == 0 {
-			k.clear[c] = now
+	t.view.dropExpired(now)
+	maps.DeleteFunc(t.toWrite, func(f poison.Fingerprint, _ bool) bool { return t.view.reports[f].Ends == "" })
+	maps.DeleteFunc(t.toRemove, func(_ poison.Fingerprint, at time.Time) bool { return now.Sub(at) > recentSuccessWindow })
+	for f, row := range t.view.rows {
+		if poison.Expired(row.Value, now) && t.rank(f, hosts) == 0 {
+			t.toRemove[f] = now
 		}
 	}
-	for c, h := range k.known.word {
-		if turn := k.rank(c, hosts); turn < mostTurns && now.Sub(h.since) > time.Duration(1+turn)*lookEvery {
-			k.own[c] = true
+	for f, r := range t.view.reports {
+		if rank := t.rank(f, hosts); rank < maxWriters && now.Sub(r.firstReportedAt) > time.Duration(1+rank)*maintenanceInterval {
+			t.toWrite[f] = true
 		}
 	}
-	k.publish()
+	t.publish()
 }
 
-// rank is this node's place among those that tend a content's row, 0 for the first: whatever the size of the fleet few nodes write, one
-// after the other, and two views of who is first cost a write.
-func (k *Tracker) rank(c poison.Fingerprint, hosts []table.HostInfo) int {
-	place := func(host string) uint64 { return xxhash.Sum64String(host + "\x00" + string(c[:])) }
-	own, before := place(k.cfg.Host), 0
+// rank returns this node's rank among the nodes that may take over a fingerprint's row, 0 for the first (rendezvous hashing). The ranks keep
+// the number of nodes that write the row small, whatever the size of the fleet. If two nodes both take themselves for the first, that
+// costs one more write.
+func (t *Tracker) rank(f poison.Fingerprint, hosts []table.HostInfo) int {
+	score := func(host string) uint64 { return xxhash.Sum64String(host + "\x00" + string(f[:])) }
+	own, before := score(t.cfg.Host), 0
 	for _, h := range hosts {
-		if !h.Leaving && place(h.ID) > own {
+		if !h.Leaving && score(h.ID) > own {
 			before++
 		}
 	}
 	return before
 }
 
-// edit is one row as it should be.
+// edit is one row to be written or removed.
 type edit struct {
-	content poison.Fingerprint
-	// value is what is known of it, gone is set to take it out.
-	value table.Fatal
-	gone  bool
-	// version is the row's as it is known here, 0 for none.
+	fingerprint poison.Fingerprint
+	// value is the new content of the row; remove is set to remove the row instead.
+	value  table.Fatal
+	remove bool
+	// version is the version of the row that this edit replaces, 0 if there is no row.
 	version uint64
 }
 
-// edits returns what is to be written now.
-func (k *Tracker) edits() []edit {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// edits returns the rows to be written or removed now.
+func (t *Tracker) edits() []edit {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	var out []edit
-	for c, at := range k.clear {
-		// A row that has not come here yet will be looked at then.
-		if row, ok := k.known.rows[c]; ok && !row.Value.At.Time().After(at) {
-			out = append(out, edit{content: c, gone: true, version: row.Version})
+	for f, at := range t.toRemove {
+		// A row that has not reached this node yet is handled once it does.
+		if row, ok := t.view.rows[f]; ok && !row.Value.At.Time().After(at) {
+			out = append(out, edit{fingerprint: f, remove: true, version: row.Version})
 		}
 	}
-	for c := range k.known.word {
-		if k.own[c] {
-			out = append(out, edit{content: c, value: k.known.of(c), version: k.known.rows[c].Version})
+	for f := range t.view.reports {
+		if t.toWrite[f] {
+			out = append(out, edit{fingerprint: f, value: t.view.get(f), version: t.view.rows[f].Version})
 		}
 	}
-	return out[:min(len(out), mostRows)]
+	return out[:min(len(out), maxRows)]
 }
 
-// write brings the rows to what is known here, as far as this node has seen it.
+// write writes and removes the rows that this node is responsible for.
 //
-// Invariant: each write names the version of the row that it replaces, and holds every end that the row held: none is lost, and a
-// write that the store does late undoes nothing.
-func (k *Tracker) write(ctx context.Context) error {
-	edits := k.edits()
-	for range mostMerges {
+// Invariant: each write checks the version of the row that it replaces, and lists every crash that the row listed. So no crash is lost,
+// and a write that the store carries out late undoes nothing.
+func (t *Tracker) write(ctx context.Context) error {
+	edits := t.edits()
+	for range maxMerges {
 		if len(edits) == 0 {
 			return nil
 		}
-		reply, err := k.commit(ctx, edits)
+		reply, err := t.commit(ctx, edits)
 		if err != nil {
 			return err
 		}
 		if reply.Committed {
-			k.written(edits)
+			t.markWritten(edits)
 			return nil
 		}
-		if edits, err = merged(edits, reply); err != nil {
+		if edits, err = rebase(edits, reply); err != nil {
 			return err
 		}
 	}
-	return fault.New(fault.Conflict, poison.KeyPrefix, "rows were written by others again and again")
+	return fault.New(fault.Conflict, poison.KeyPrefix, "rows of poison requests changed during every attempt to write them")
 }
 
-func (k *Tracker) commit(ctx context.Context, edits []edit) (platform.TxnReply, error) {
-	ctx, cancel := context.WithTimeout(platform.WithReason(ctx, platform.ReasonFatal), k.cfg.Timeout)
+func (t *Tracker) commit(ctx context.Context, edits []edit) (platform.TxnReply, error) {
+	ctx, cancel := context.WithTimeout(platform.WithReason(ctx, platform.ReasonFatal), t.cfg.Timeout)
 	defer cancel()
 	var txn platform.Txn
 	for _, e := range edits {
-		key := poison.KeyOf(e.content)
+		key := poison.KeyOf(e.fingerprint)
 		txn.Checks = append(txn.Checks, platform.Check{Key: key, Version: e.version})
-		w := platform.Write{Key: key, Delete: e.gone}
-		if !e.gone {
+		w := platform.Write{Key: key, Delete: e.remove}
+		if !e.remove {
 			value, err := poison.Encode(e.value)
 			if err != nil {
 				return platform.TxnReply{}, err
@@ -159,29 +161,29 @@
 		}
 		txn.Writes = append(txn.Writes, w)
 	}
-	return k.table.Commit(ctx, txn)
+	return t.table.Commit(ctx, txn)
 }
 
-// merged returns the edits over the rows that a refusal has shown. A row that has changed meanwhile is not taken out: it says more by
-// now.
-func merged(edits []edit, refused platform.TxnReply) ([]edit, error) {
+// rebase returns the edits on top of the rows in the reply to a conflicting transaction. A row that has changed is not removed, because
+// it lists another crash by now.
+func rebase(edits []edit, conflict platform.TxnReply) ([]edit, error) {
 	var out []edit
 	for _, e := range edits {
-		found := refused.FoundAt(poison.KeyOf(e.content))
+		found := conflict.FoundAt(poison.KeyOf(e.fingerprint))
 		if found.Version == e.version {
 			out = append(out, e)
 			continue
 		}
-		if e.gone {
+		if e.remove {
 			continue
 		}
 		if found.Version != 0 {
-			held, err := poison.Decode(found)
+			current, err := poison.Decode(found)
 			if err != nil {
 				return nil, err
 			}
-			e.value = poison.WithCrashes(held, e.value.Service, e.value.Ends.List(), e.value.At.Time())
-			if e.value == held {
+			e.value = poison.WithCrashes(current, e.value.Service, e.value.Ends.List(), e.value.At.Time())
+			if e.value == current {
 				continue
 			}
 		}
@@ -191,14 +193,14 @@
 	return out, nil
 }
 
-// written notes that rows are as they should be.
-func (k *Tracker) written(edits []edit) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// markWritten records that edits have been committed.
+func (t *Tracker) markWritten(edits []edit) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	for _, e := range edits {
-		delete(k.clear, e.content)
-		delete(k.own, e.content)
-		events.FatalWritten.Log(k.log).Stringer("content", e.content).Str("service", e.value.Service).
-			Strs("ends", e.value.Ends.List()).Bool("taken_out", e.gone).Send()
+		delete(t.toRemove, e.fingerprint)
+		delete(t.toWrite, e.fingerprint)
+		events.FatalWritten.Log(t.log).Stringer("content", e.fingerprint).Str("service", e.value.Service).
+			Strs("ends", e.value.Ends.List()).Bool("taken_out", e.remove).Send()
 	}
 }
