--- a/skipped/doc.go
+++ b/skipped/doc.go
@@ -1,3 +1,3 @@
-// Package skipped remembers the entries that this node could not understand and so left out: of a configuration, of the tables, of
-// what endpoints and peers say.
+// Package skipped lists the entries that this node could not decode and therefore skipped: entries of the configuration, of the product's
+// table, and of what peers and endpoints report. Events, metrics and lynxplankctl call them "left out".
 package skipped
--- a/skipped/list.go
+++ b/skipped/list.go
@@ -11,36 +11,36 @@
 	"github.com/lynxplank/lynxplank/events"
 )
 
-// mostEntries bounds what is remembered; another writer may fill a table with what nobody can read.
-const mostEntries = 1000
+// maxEntries bounds the entries in a list, because another writer may fill a table with entries that no node can decode.
+const maxEntries = 1000
 
 // Source is where entries come from.
 type Source string
 
 // The sources of entries.
 const (
-	// Configuration is the configuration that the platform's operators keep.
+	// Configuration is the configuration that the platform's operators maintain.
 	Configuration Source = "configuration"
-	// Halls is what the platform's operators say of halls.
+	// Halls is the evacuations of halls that the platform's operators have ordered.
 	Halls Source = "halls"
-	// Records is the product's own table: operators' rows, lines of hosts, ends of endpoints.
+	// Records is the product's table as stored: operators' rows, announcements of hosts, crashes of endpoints.
 	Records Source = "records"
-	// Table is the table in force, to which peers add what they have read.
+	// Table is the active table, which also gets rows that peers have read.
 	Table Source = "table"
 )
 
-// Entry is one entry that was left out.
+// Entry is one entry that was skipped.
 type Entry struct {
-	// Source and Where name it.
+	// Source says where the entry comes from, Where which of that source's entries it is.
 	Source Source `json:"source"`
 	Where  string `json:"where"`
-	// Detail says what cannot be understood.
+	// Detail says why the entry cannot be decoded.
 	Detail string `json:"detail"`
-	// Since is when it was first met as it is.
+	// Since is when the entry was first skipped with this Detail.
 	Since time.Time `json:"since"`
 }
 
-// List is the entries that are left out now; it is safe for concurrent use.
+// List holds the entries that are skipped now. It is safe for concurrent use.
 type List struct {
 	log *zerolog.Logger
 
@@ -53,10 +53,10 @@
 	where  string
 }
 
-// New returns an empty list that logs each entry once.
+// New returns an empty list. It logs each entry once, and again when the entry is skipped for another reason.
 func New(log *zerolog.Logger) *List { return &List{log: log, entries: make(map[key]Entry)} }
 
-// Note takes an entry that was left out, and logs it unless it was left out for the same reason before.
+// Note records that an entry was skipped, and logs it unless the list has it with the same detail.
 func (l *List) Note(source Source, where, detail string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -64,35 +64,35 @@
 	if l.entries[k].Detail == detail {
 		return
 	}
-	if len(l.entries) >= mostEntries {
+	if len(l.entries) >= maxEntries {
 		clear(l.entries)
 	}
 	l.entries[k] = Entry{Source: source, Where: where, Detail: detail, Since: time.Now()}
 	events.EntryLeftOut.Log(l.log).Str("source", string(source)).Str("where", where).Str("detail", detail).Send()
 }
 
-// Understood forgets an entry that can be read now.
+// Decoded removes an entry that could be decoded now.
 func (l *List) Decoded(source Source, where string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.entries, key{source: source, where: where})
 }
 
-// Replace takes all that is left out of a source now, by where it stands, in place of what was before.
-func (l *List) Replace(source Source, now map[string]string) {
+// Replace replaces a source's entries by those that are skipped now. The keys of details are the entries' Where.
+func (l *List) Replace(source Source, details map[string]string) {
 	l.mu.Lock()
 	for k := range l.entries {
-		if _, still := now[k.where]; k.source == source && !still {
+		if _, ok := details[k.where]; k.source == source && !ok {
 			delete(l.entries, k)
 		}
 	}
 	l.mu.Unlock()
-	for where, detail := range now {
+	for where, detail := range details {
 		l.Note(source, where, detail)
 	}
 }
 
-// Entries returns what is left out now, by source and place.
+// Entries returns the entries that are skipped now, sorted by source and where.
 func (l *List) Entries() []Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/skipped/list_test.go
+++ b/skipped/list_test.go
@@ -10,14 +10,14 @@
 	"github.com/rs/zerolog"
 )
 
-// TestScripts runs the scenarios of testdata. Commands:
+// TestScripts runs the scenarios in testdata. Commands:
 //
 //	note SOURCE WHERE DETAIL
-//	understood SOURCE WHERE
-//	replace SOURCE             with lines of WHERE DETAIL
-//	flood SOURCE N             notes N entries
+//	understood SOURCE WHERE    calls Decoded
+//	replace SOURCE             with lines of WHERE DETAIL as input
+//	flood SOURCE n=N           notes N entries and prints whether the list is within its bound
 //
-// Each prints how many lines were logged, and the entries.
+// The others print how many lines were logged, and the entries in the list.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		var out bytes.Buffer
@@ -32,21 +32,21 @@
 			case "understood":
 				l.Decoded(Source(arg(0)), arg(1))
 			case "replace":
-				now := make(map[string]string)
+				details := make(map[string]string)
 				for line := range strings.Lines(d.Input) {
 					where, detail, _ := strings.Cut(strings.TrimSpace(line), " ")
-					now[where] = detail
+					details[where] = detail
 				}
-				l.Replace(Source(arg(0)), now)
+				l.Replace(Source(arg(0)), details)
 			case "flood":
 				n := 0
 				d.ScanArgs(t, "n", &n)
 				for i := range n {
 					l.Note(Source(arg(0)), fmt.Sprint(i), "odd")
 				}
-				return fmt.Sprintln("at most", mostEntries, len(l.Entries()) <= mostEntries)
+				return fmt.Sprintln("at most", maxEntries, len(l.Entries()) <= maxEntries)
 			default:
-				d.Fatalf(t, "no such command")
+				d.Fatalf(t, "unknown command")
 			}
 			var b strings.Builder
 			fmt.Fprintln(&b, "logged", strings.Count(out.String(), "\n"))
