--- a/poison/fingerprint.go
+++ b/poison/fingerprint.go
@@ -7,18 +7,19 @@
 	"strings"
 )
 
-// fingerprintBytes is how many bytes of the SHA-256 a fingerprint keeps, enough that no caller can construct a request with the
-// fingerprint of another caller's request.
+// fingerprintBytes is how many bytes of the SHA-256 a fingerprint keeps, enough that no caller can construct a request
+// with the fingerprint of another caller's request.
 const fingerprintBytes = 16
 
-// Fingerprint identifies a request by its content. It stays the same when the request is repeated under another id or at another node.
+// Fingerprint identifies a request by its content. It stays the same when the request is repeated under another id or
+// at another node.
 type Fingerprint [fingerprintBytes]byte
 
-// FingerprintOf returns the fingerprint of a customer's request. customer is "" for none; host is the host of the request's route,
-// "*" for a route that takes any.
+// FingerprintOf returns the fingerprint of a customer's request. customer is "" for none; host is the host of the
+// request's route, "*" for a route that takes any.
 //
-// The fingerprint covers neither the address that the caller used nor the service beside the node that received the request, because
-// the request may be repeated at any other node.
+// The fingerprint covers neither the address that the caller used nor the service beside the node that received the
+// request, because the request may be repeated at any other node.
 func FingerprintOf(customer, method, host, target string, body []byte) Fingerprint {
 	h := sha256.New()
 	for _, part := range []string{customer, method, strings.ToLower(host), target} {
--- a/poison/poison_test.go
+++ b/poison/poison_test.go
@@ -8,8 +8,8 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// TestFingerprintOf checks what a fingerprint covers: requests of different customers differ, and text that moves from one part of a
-// request to the next changes it.
+// TestFingerprintOf checks what a fingerprint covers: requests of different customers differ, and text that moves from
+// one part of a request to the next changes it.
 func TestFingerprintOf(t *testing.T) {
 	same := FingerprintOf("firm-1", "GET", "Desk.example", "/list", []byte("x"))
 	if got, want := FingerprintOf("firm-1", "GET", "desk.EXAMPLE", "/list", []byte("x")), same; got != want {
@@ -37,8 +37,8 @@
 	}
 }
 
-// TestBlockedAndExpired checks after how many crashes a request is blocked, and when fewer crashes expire. Those of a blocked request
-// never do.
+// TestBlockedAndExpired checks after how many crashes a request is blocked, and when fewer crashes expire. Those of a
+// blocked request never do.
 func TestBlockedAndExpired(t *testing.T) {
 	now := time.UnixMilli(1e12)
 	f := table.Fatal{}
@@ -57,7 +57,8 @@
 	}
 }
 
-// TestRecordRoundTrip checks that Decode returns the row that Encode was given, and refuses records that no node writes.
+// TestRecordRoundTrip checks that Decode returns the row that Encode was given, and refuses records that no node
+// writes.
 func TestRecordRoundTrip(t *testing.T) {
 	f := WithCrashes(table.Fatal{}, "desk", []string{CrashID("e,1", time.UnixMilli(5)), "b@2"}, time.UnixMilli(7))
 	text, err := Encode(f)
--- a/poison/recent.go
+++ b/poison/recent.go
@@ -5,8 +5,8 @@
 // maxRecent bounds the fingerprints that a Recent remembers, some seconds of one endpoint's requests.
 const maxRecent = 1024
 
-// Recent remembers the fingerprints of requests that succeeded recently. A request that an endpoint ran successfully just before it
-// crashed is no more suspect than any other. Recent does not lock: the caller serializes access.
+// Recent remembers the fingerprints of requests that succeeded recently. A request that an endpoint ran successfully
+// just before it crashed is no more suspect than any other. Recent does not lock: the caller serializes access.
 type Recent struct {
 	succeededAt map[Fingerprint]time.Time
 	ring        [maxRecent]Fingerprint
--- a/poison/record.go
+++ b/poison/record.go
@@ -15,13 +15,14 @@
 const (
 	// KeyPrefix starts the keys of these rows in the product's table.
 	KeyPrefix = "fatal/"
-	// BlockThreshold is how many endpoints may crash while they run a request before it is blocked: the most that users can bear.
+	// BlockThreshold is how many endpoints may crash while they run a request before it is blocked: the most that users
+	// can bear.
 	BlockThreshold = 3
-	// NoRetryThreshold is the number of crashes from which a request that an endpoint may have received is not sent to another one: the
-	// third crash must not come from a second send. A harmless request loses one retry by it.
+	// NoRetryThreshold is the number of crashes from which a request that an endpoint may have received is not sent to
+	// another one: the third crash must not come from a second send. A harmless request loses one retry by it.
 	NoRetryThreshold = 1
-	// SuspicionDuration is how long fewer crashes than BlockThreshold count against a request. A poison request is repeated within
-	// seconds, while an endpoint crashes of itself once in hours.
+	// SuspicionDuration is how long fewer crashes than BlockThreshold count against a request. A poison request is
+	// repeated within seconds, while an endpoint crashes of itself once in hours.
 	SuspicionDuration = 10 * time.Minute
 	// maxCrashes bounds the crashes that a row lists. Those beyond BlockThreshold only inform operators.
 	maxCrashes = 8
@@ -34,8 +35,8 @@
 	At      table.Moment `json:"at"`
 }
 
-// CrashID returns the name of a crash, unique among all crashes. It contains the time because an endpoint that is a row of the table has
-// the same key each time its process is started.
+// CrashID returns the name of a crash, unique among all crashes. It contains the time because an endpoint that is a row
+// of the table has the same key each time its process is started.
 func CrashID(endpoint string, at time.Time) string {
 	return strings.ReplaceAll(endpoint, ",", "_") + "@" + strconv.FormatInt(at.UnixMilli(), 10)
 }
@@ -89,8 +90,8 @@
 	return table.Fatal{Service: r.Service, Ends: table.NamesOf(r.Crashes), At: r.At}, nil
 }
 
-// RowOf returns the table row of a record of the store, or the removal of that row if the record is deleted. It returns a BadRow fault for
-// a record that no node has written.
+// RowOf returns the table row of a record of the store, or the removal of that row if the record is deleted. It returns
+// a BadRow fault for a record that no node has written.
 func RowOf(rec platform.Record) (table.Row, error) {
 	key := strings.TrimPrefix(rec.Key, KeyPrefix)
 	meta := table.Meta{Version: rec.Version, Revision: rec.Version, Plane: table.PlaneFatal}
--- a/quarantine/innocent_test.go
+++ b/quarantine/innocent_test.go
@@ -17,11 +17,13 @@
 	finishesAt  time.Duration
 }
 
-// innocentFleet is a fleet in which endpoints crash of themselves, singly and a third of them at once, and no request crashes any. Many callers
-// send some of the same requests, and a caller that gets no answer repeats its request up to four times.
+// innocentFleet is a fleet in which endpoints crash of themselves, singly and a third of them at once, and no request
+// crashes any. Many callers send some of the same requests, and a caller that gets no answer repeats its request up to
+// four times.
 type innocentFleet struct {
 	*simFleet
-	// inFlight has the requests in flight at each node's endpoint, succeeded the requests that succeeded there recently.
+	// inFlight has the requests in flight at each node's endpoint, succeeded the requests that succeeded there
+	// recently.
 	inFlight  map[*simNode][]simRequest
 	succeeded map[*simNode]*poison.Recent
 	// asked counts the requests, blockedCount those of them that were blocked although they are harmless.
@@ -137,7 +139,8 @@
 	}
 }
 
-// reportIfSucceeded reports the success of a request at a node if it succeeded there recently, and returns whether it did.
+// reportIfSucceeded reports the success of a request at a node if it succeeded there recently, and returns whether it
+// did.
 func (f *innocentFleet) reportIfSucceeded(n *simNode, c poison.Fingerprint) bool {
 	if !f.recent(n).SucceededWithin(f.time(), c, recentSuccessWindow) {
 		return false
--- a/quarantine/sim_test.go
+++ b/quarantine/sim_test.go
@@ -12,16 +12,16 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// The nodes of the simulated fleets send poison requests to endpoints, report crashes to each other, write rows, freeze, restart and are cut
-// off, in virtual time. The tests check the requests that begin to run.
+// The nodes of the simulated fleets send poison requests to endpoints, report crashes to each other, write rows,
+// freeze, restart and are cut off, in virtual time. The tests check the requests that begin to run.
 const (
 	simTick = 10 * time.Millisecond
 	// simRecovery is how long a node must have been without a fault for the bound to hold for it.
 	simRecovery = 3 * time.Second
 	// simDown is how long an endpoint is down after a crash.
 	simDown = 3 * time.Second
-	// simRowDelay is the maximum time in which a row reaches a node without faults: the node's peer polls the store, collects the changes,
-	// and the node pulls them.
+	// simRowDelay is the maximum time in which a row reaches a node without faults: the node's peer polls the store,
+	// collects the changes, and the node pulls them.
 	simRowDelay = 1500 * time.Millisecond
 	// simLinks is how many links a node of a large fleet has.
 	simLinks   = 24
@@ -35,8 +35,8 @@
 type simNode struct {
 	view    *view
 	toWrite map[poison.Fingerprint]bool
-	// downUntil is until when the endpoint is down, frozenUntil until when the node does nothing, cutUntil until when it reaches no other
-	// node, and faultyUntil when its last fault ends.
+	// downUntil is until when the endpoint is down, frozenUntil until when the node does nothing, cutUntil until when
+	// it reaches no other node, and faultyUntil when its last fault ends.
 	downUntil, frozenUntil, cutUntil, faultyUntil time.Duration
 	// rowsState is the newest state of the rows that the node has received: it never goes back to an older one.
 	rowsState uint64
@@ -55,11 +55,13 @@
 	version        uint64
 	// states counts the changes of the rows.
 	states uint64
-	// onReport is called when a node receives a report. It returns true if the request succeeded at that node, which then reports that.
+	// onReport is called when a node receives a report. It returns true if the request succeeded at that node, which
+	// then reports that.
 	onReport func(n *simNode, c poison.Fingerprint) bool
 	// alone makes each node count only the crashes of its own endpoint, for comparison.
 	alone bool
-	// crashedAt has the times of the crashes that each request caused, late how many copies of it began to run past the bound.
+	// crashedAt has the times of the crashes that each request caused, late how many copies of it began to run past the
+	// bound.
 	crashedAt map[poison.Fingerprint][]time.Duration
 	late      map[poison.Fingerprint]int
 	ran       int
@@ -145,8 +147,8 @@
 // crashDetection is how long a node takes to detect that its endpoint has crashed.
 const crashDetection = 60 * time.Millisecond
 
-// begin counts a request that begins to run. It counts it as past the bound if it had caused enough crashes before and neither the nodes
-// nor the store had faults since.
+// begin counts a request that begins to run. It counts it as past the bound if it had caused enough crashes before and
+// neither the nodes nor the store had faults since.
 func (f *simFleet) begin(from, to *simNode, c poison.Fingerprint) {
 	f.ran++
 	crashes := f.crashedAt[c]
@@ -250,7 +252,8 @@
 	length := time.Duration(f.random.Int64N(int64(4 * time.Second)))
 	switch f.random.IntN(200) {
 	case 0:
-		// The node freezes. Whether its clock stops too makes no difference, because its view does not expire within the test.
+		// The node freezes. Whether its clock stops too makes no difference, because its view does not expire within
+		// the test.
 		n.frozenUntil = f.now + length
 		f.markFaulty(n, n.frozenUntil)
 	case 1:
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -17,21 +17,23 @@
 )
 
 const (
-	// recentSuccessWindow is the time within which a request must have succeeded beside this node for a crash not to count against its
-	// fingerprint: a request that many callers make is in flight at nearly every crash.
+	// recentSuccessWindow is the time within which a request must have succeeded beside this node for a crash not to
+	// count against its fingerprint: a request that many callers make is in flight at nearly every crash.
 	recentSuccessWindow = 10 * time.Second
 	// maxFingerprints bounds the fingerprints in one report, several times the slots of an endpoint.
 	maxFingerprints = 64
-	// gossipFanout is the number of peers to which a report is forwarded. With three, nineteen in twenty nodes of any fleet receive it by
-	// gossip within a few round trips; the others learn of the crash from the row.
+	// gossipFanout is the number of peers to which a report is forwarded. With three, nineteen in twenty nodes of any
+	// fleet receive it by gossip within a few round trips; the others learn of the crash from the row.
 	gossipFanout = 3
-	// maintenanceInterval is the time between two checks for expired reports and for reports that no node has written to a row.
+	// maintenanceInterval is the time between two checks for expired reports and for reports that no node has written
+	// to a row.
 	maintenanceInterval = time.Second
 )
 
 // Links sends reports to this node's peers.
 type Links interface {
-	// TellEnded sends a report to at most maxPeers connected peers, to all of them if maxPeers is negative. It does not wait.
+	// TellEnded sends a report to at most maxPeers connected peers, to all of them if maxPeers is negative. It does not
+	// wait.
 	TellEnded(report *peerpb.Ended, maxPeers int)
 }
 
@@ -45,8 +47,8 @@
 	Timeout time.Duration
 }
 
-// Tracker counts the crashes that each request has caused and writes them to the product's table. It is a kernel component, and safe for
-// concurrent use.
+// Tracker counts the crashes that each request has caused and writes them to the product's table. It is a kernel
+// component, and safe for concurrent use.
 type Tracker struct {
 	cfg      Config
 	log      *zerolog.Logger
@@ -63,8 +65,8 @@
 	view *view
 	// succeeded has the fingerprints of requests that succeeded recently.
 	succeeded *poison.Recent
-	// toWrite has the fingerprints whose rows this node must write. toRemove has those whose rows it must remove, with the time of the
-	// decision: a row with a later crash stays.
+	// toWrite has the fingerprints whose rows this node must write. toRemove has those whose rows it must remove, with
+	// the time of the decision: a row with a later crash stays.
 	toWrite  map[poison.Fingerprint]bool
 	toRemove map[poison.Fingerprint]time.Time
 	// revision is the revision of the rows in view.
@@ -114,7 +116,8 @@
 	return suspected, blocked
 }
 
-// Ran records that an endpoint beside this node ran a request successfully, which clears the request's fingerprint of any crashes.
+// Ran records that an endpoint beside this node ran a request successfully, which clears the request's fingerprint of
+// any crashes.
 func (t *Tracker) Ran(f poison.Fingerprint) {
 	if f == (poison.Fingerprint{}) {
 		return
@@ -128,7 +131,8 @@
 	}
 }
 
-// clearSuspicion clears a fingerprint of its crashes because a request with it succeeded, and tells all peers. The caller holds t.mu.
+// clearSuspicion clears a fingerprint of its crashes because a request with it succeeded, and tells all peers. The
+// caller holds t.mu.
 func (t *Tracker) clearSuspicion(now time.Time, f poison.Fingerprint) {
 	if t.view.get(f).Ends == "" {
 		return
@@ -140,7 +144,8 @@
 	t.links.TellEnded(&peerpb.Ended{Contents: [][]byte{f[:]}, Ran: true}, -1)
 }
 
-// handleSuccessReport processes a peer's report that requests succeeded, and forwards the part of it that is new to this node.
+// handleSuccessReport processes a peer's report that requests succeeded, and forwards the part of it that is new to
+// this node.
 func (t *Tracker) handleSuccessReport(report *peerpb.Ended) {
 	now, hosts := time.Now(), t.snapshot().Hosts
 	forward := &peerpb.Ended{Ran: true}
@@ -163,8 +168,8 @@
 	}
 }
 
-// EndedHere records that an endpoint beside this node crashed while it ran requests with these fingerprints, and reports that to all
-// peers.
+// EndedHere records that an endpoint beside this node crashed while it ran requests with these fingerprints, and
+// reports that to all peers.
 func (t *Tracker) EndedHere(endpoint, service string, fingerprints []poison.Fingerprint) {
 	now := time.Now()
 	id := poison.CrashID(endpoint, now)
@@ -185,7 +190,8 @@
 	}
 }
 
-// HandleReport processes a peer's report of a crash or of a success, and forwards the part of it that is new to this node.
+// HandleReport processes a peer's report of a crash or of a success, and forwards the part of it that is new to this
+// node.
 func (t *Tracker) HandleReport(report *peerpb.Ended) {
 	if len(report.GetContents()) > maxFingerprints {
 		return
@@ -207,9 +213,9 @@
 			continue
 		}
 		if t.succeeded.SucceededWithin(now, f, recentSuccessWindow) {
-			// The request has just succeeded beside this node, so the crash is not its fault. Without the report of this to the peers, 143 in a
-			// million harmless requests were blocked in random fleets where now and then a third of the endpoints crash at once: requests that
-			// many callers make. With it, none in 1.3 million were.
+			// The request has just succeeded beside this node, so the crash is not its fault. Without the report of
+			// this to the peers, 143 in a million harmless requests were blocked in random fleets where now and then a
+			// third of the endpoints crash at once: requests that many callers make. With it, none in 1.3 million were.
 			t.clearSuspicion(now, f)
 			continue
 		}
@@ -242,7 +248,8 @@
 	t.wakeWriter()
 }
 
-// publish updates crashCounts. It logs each fingerprint that has become blocked, and each blocked one that was cleared. The caller holds t.mu.
+// publish updates crashCounts. It logs each fingerprint that has become blocked, and each blocked one that was cleared.
+// The caller holds t.mu.
 func (t *Tracker) publish() {
 	counts := t.view.crashCounts()
 	old := *t.crashCounts.Load()
--- a/quarantine/tracker_test.go
+++ b/quarantine/tracker_test.go
@@ -119,8 +119,9 @@
 
 var deadly = poison.FingerprintOf("", "GET", "", "/deadly", nil)
 
-// TestCrashesAddUp has the endpoints beside three nodes crash while they run the same request, two of them at the same moment. Each node
-// learns of all crashes from reports, the store holds all of them, and a node that starts learns of them from the store.
+// TestCrashesAddUp has the endpoints beside three nodes crash while they run the same request, two of them at the same
+// moment. Each node learns of all crashes from reports, the store holds all of them, and a node that starts learns of
+// them from the store.
 func TestCrashesAddUp(t *testing.T) {
 	c := newCluster(t, 4)
 	c.all[0].EndedHere("e0", "docket-desk", []poison.Fingerprint{deadly})
@@ -141,8 +142,9 @@
 	}
 }
 
-// TestReportsStopSpreading has more endpoints crash on one request than a row lists. Once the request is blocked, nodes must not forward
-// any more reports: they forwarded each report without end when they took the crashes that the row cannot list for new.
+// TestReportsStopSpreading has more endpoints crash on one request than a row lists. Once the request is blocked, nodes
+// must not forward any more reports: they forwarded each report without end when they took the crashes that the row
+// cannot list for new.
 func TestReportsStopSpreading(t *testing.T) {
 	c := newCluster(t, 5)
 	for i := range 40 {
@@ -174,8 +176,8 @@
 	}
 }
 
-// TestStoreDown has an endpoint crash while the store is down. The report still spreads between nodes, and the row is written once the store
-// is up again, although the store's first answers are lost.
+// TestStoreDown has an endpoint crash while the store is down. The report still spreads between nodes, and the row is
+// written once the store is up again, although the store's first answers are lost.
 func TestStoreDown(t *testing.T) {
 	c := newCluster(t, 2)
 	c.store.SetFaults(store.Faults{Down: true})
@@ -185,8 +187,8 @@
 	c.waitForCrashesInStore(t, 1)
 }
 
-// TestPeerTakesOverWrite stops the node that observed a crash before it has written the row: another node that received the report writes
-// it.
+// TestPeerTakesOverWrite stops the node that observed a crash before it has written the row: another node that received
+// the report writes it.
 func TestPeerTakesOverWrite(t *testing.T) {
 	c := newCluster(t, 3)
 	c.store.SetFaults(store.Faults{Down: true})
@@ -199,8 +201,8 @@
 	c.waitForCrashesInStore(t, 1)
 }
 
-// TestWhatRanWellIsCleared has one request succeed at a node after an endpoint crashed on it at another, and a second request succeed just
-// before endpoints crash on it elsewhere. In both cases every node clears the request.
+// TestWhatRanWellIsCleared has one request succeed at a node after an endpoint crashed on it at another, and a second
+// request succeed just before endpoints crash on it elsewhere. In both cases every node clears the request.
 func TestWhatRanWellIsCleared(t *testing.T) {
 	c := newCluster(t, 3)
 	c.all[0].EndedHere("e0", "docket-desk", []poison.Fingerprint{deadly})
@@ -224,7 +226,8 @@
 	}
 }
 
-// TestRemovedRowStaysCleared has an operator remove the row: late reports of the same crashes change nothing, while new crashes count.
+// TestRemovedRowStaysCleared has an operator remove the row: late reports of the same crashes change nothing, while new
+// crashes count.
 func TestRemovedRowStaysCleared(t *testing.T) {
 	c := newCluster(t, 2)
 	reports := []*peerpb.Ended{
--- a/quarantine/view.go
+++ b/quarantine/view.go
@@ -9,19 +9,20 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// maxReported bounds the fingerprints that are known only from reports, and the cleared crashes that are remembered. Each comes from a
-// crash of an endpoint, and a fleet of thousands has some hundred of those a day.
+// maxReported bounds the fingerprints that are known only from reports, and the cleared crashes that are remembered.
+// Each comes from a crash of an endpoint, and a fleet of thousands has some hundred of those a day.
 const maxReported = 4096
 
-// reported has the crashes of one fingerprint that this node or its peers have reported and that may not be in its row yet.
+// reported has the crashes of one fingerprint that this node or its peers have reported and that may not be in its row
+// yet.
 type reported struct {
 	table.Fatal
 	// firstReportedAt is when the first of the reports came.
 	firstReportedAt time.Time
 }
 
-// view is this node's view of the crashes that requests have caused, from the active rows and from reports. It does not lock: the caller
-// serializes access.
+// view is this node's view of the crashes that requests have caused, from the active rows and from reports. It does not
+// lock: the caller serializes access.
 //
 // Invariant: once a fingerprint is cleared or its row removed, no report of one of the same crashes counts again.
 type view struct {
@@ -45,9 +46,9 @@
 	}
 }
 
-// addReport adds the report that an endpoint crashed at a time while it ran a request, and returns whether the report is new. For a blocked
-// fingerprint no report is new: a row lists a limited number of crashes, and nodes that took those beyond it for new forwarded their
-// reports without end.
+// addReport adds the report that an endpoint crashed at a time while it ran a request, and returns whether the report
+// is new. For a blocked fingerprint no report is new: a row lists a limited number of crashes, and nodes that took
+// those beyond it for new forwarded their reports without end.
 func (v *view) addReport(now time.Time, f poison.Fingerprint, service, id string, at time.Time) bool {
 	if poison.Blocked(v.get(f)) || v.cleared[crash{f, id}] || slices.Contains(v.get(f).Ends.List(), id) {
 		return false
@@ -76,7 +77,8 @@
 	delete(v.reports, oldest)
 }
 
-// get returns a fingerprint's crashes from its row and from reports, without cleared ones, which the row may still list.
+// get returns a fingerprint's crashes from its row and from reports, without cleared ones, which the row may still
+// list.
 func (v *view) get(f poison.Fingerprint) table.Fatal {
 	row, report := v.rows[f].Value, v.reports[f].Fatal
 	if ids := row.Ends.List(); slices.ContainsFunc(ids, func(id string) bool { return v.cleared[crash{f, id}] }) {
@@ -88,7 +90,8 @@
 	return poison.WithCrashes(row, report.Service, report.Ends.List(), report.At.Time())
 }
 
-// setRows replaces the active rows. It clears the crashes of rows that are gone and drops the reports that rows now cover.
+// setRows replaces the active rows. It clears the crashes of rows that are gone and drops the reports that rows now
+// cover.
 func (v *view) setRows(rows map[poison.Fingerprint]table.Entry[table.Fatal]) {
 	for f, row := range v.rows {
 		if _, ok := rows[f]; !ok {
@@ -105,8 +108,8 @@
 	return !slices.ContainsFunc(r.Ends.List(), func(id string) bool { return !slices.Contains(ids, id) })
 }
 
-// clear clears a fingerprint of the crashes in row and of all reported ones, so that late reports of them change nothing. It returns whether
-// any of them was not cleared before.
+// clear clears a fingerprint of the crashes in row and of all reported ones, so that late reports of them change
+// nothing. It returns whether any of them was not cleared before.
 func (v *view) clear(f poison.Fingerprint, row table.Fatal) (isNew bool) {
 	for _, id := range slices.Concat(row.Ends.List(), v.reports[f].Ends.List()) {
 		cr := crash{f, id}
--- a/quarantine/write.go
+++ b/quarantine/write.go
@@ -16,10 +16,11 @@
 )
 
 const (
-	// maxMerges bounds how often a write is retried after a conflict with the write of another node. If two nodes write a crash of the same
-	// fingerprint at once, one of them writes twice.
+	// maxMerges bounds how often a write is retried after a conflict with the write of another node. If two nodes write
+	// a crash of the same fingerprint at once, one of them writes twice.
 	maxMerges = 8
-	// maxWriters is how many nodes, one after the other, may take over a row that the node that observed the crash has not written.
+	// maxWriters is how many nodes, one after the other, may take over a row that the node that observed the crash has
+	// not written.
 	maxWriters = 4
 	// maxRows bounds the rows in one transaction, each of which takes a check and a write.
 	maxRows = platform.MostEntries / 2
@@ -51,8 +52,8 @@
 	}
 }
 
-// maintain drops what has expired, and takes over the writing of crashes that the node that observed them has not written: that node may
-// be down.
+// maintain drops what has expired, and takes over the writing of crashes that the node that observed them has not
+// written: that node may be down.
 func (t *Tracker) maintain(now time.Time) {
 	hosts := t.snapshot().Hosts
 	t.mu.Lock()
@@ -76,9 +77,9 @@
 	t.publish()
 }
 
-// rank returns this node's rank among the nodes that may take over a fingerprint's row, 0 for the first (rendezvous hashing). The ranks keep
-// the number of nodes that write the row small, whatever the size of the fleet. If two nodes both take themselves for the first, that
-// costs one more write.
+// rank returns this node's rank among the nodes that may take over a fingerprint's row, 0 for the first (rendezvous
+// hashing). The ranks keep the number of nodes that write the row small, whatever the size of the fleet. If two nodes
+// both take themselves for the first, that costs one more write.
 func (t *Tracker) rank(f poison.Fingerprint, hosts []table.HostInfo) int {
 	score := func(host string) uint64 { return xxhash.Sum64String(host + "\x00" + string(f[:])) }
 	own, before := score(t.cfg.Host), 0
@@ -121,8 +122,8 @@
 
 // write writes and removes the rows that this node is responsible for.
 //
-// Invariant: each write checks the version of the row that it replaces, and lists every crash that the row listed. So no crash is lost,
-// and a write that the store carries out late undoes nothing.
+// Invariant: each write checks the version of the row that it replaces, and lists every crash that the row listed. So
+// no crash is lost, and a write that the store carries out late undoes nothing.
 func (t *Tracker) write(ctx context.Context) error {
 	edits := t.edits()
 	for range maxMerges {
@@ -164,8 +165,8 @@
 	return t.table.Commit(ctx, txn)
 }
 
-// rebase returns the edits on top of the rows in the reply to a conflicting transaction. A row that has changed is not removed, because
-// it lists another crash by now.
+// rebase returns the edits on top of the rows in the reply to a conflicting transaction. A row that has changed is not
+// removed, because it lists another crash by now.
 func rebase(edits []edit, conflict platform.TxnReply) ([]edit, error) {
 	var out []edit
 	for _, e := range edits {
--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -15,7 +15,8 @@
 // MaxWithin returns the maximum number of requests that the limit lets pass in any window of this length.
 func (l Limit) MaxWithin(window time.Duration) float64 { return l.Rate*window.Seconds() + l.Burst }
 
-// Bucket is a token bucket that grants requests from one share of a limit. It does not lock: the caller serializes access.
+// Bucket is a token bucket that grants requests from one share of a limit. It does not lock: the caller serializes
+// access.
 //
 // Invariant: in any window it grants at most Limit.MaxWithin of that window, with minBurst in place of a smaller burst.
 type Bucket struct {
@@ -27,7 +28,8 @@
 	lastRetryAt time.Time
 }
 
-// maxRetryDelay bounds how far ahead refused callers are told to retry: beyond it, other callers will have taken their place.
+// maxRetryDelay bounds how far ahead refused callers are told to retry: beyond it, other callers will have taken their
+// place.
 const maxRetryDelay = 2 * time.Second
 
 // NewBucket returns a bucket that starts empty at a time, which may lie in the future.
@@ -43,9 +45,9 @@
 	b.tokens = min(b.tokens, b.capacity())
 }
 
-// minBurst is the minimum capacity of a bucket, in requests, however small its share of a limit. With a minimum of 1, a customer with a
-// limit of three requests a second that sent two thirds of it had 7 in 100 requests refused (quota/testdata/fleets), because now and
-// then more than one request arrives at once.
+// minBurst is the minimum capacity of a bucket, in requests, however small its share of a limit. With a minimum of 1, a
+// customer with a limit of three requests a second that sent two thirds of it had 7 in 100 requests refused
+// (quota/testdata/fleets), because now and then more than one request arrives at once.
 const minBurst = 2
 
 // capacity is the maximum number of tokens.
@@ -72,8 +74,8 @@
 	b.tokens = min(b.tokens+1, b.capacity())
 }
 
-// RetryDelay returns after how long a refused caller should retry. Each call reserves a later time, spaced by the rate of the limit, so
-// that refused callers do not all retry at once.
+// RetryDelay returns after how long a refused caller should retry. Each call reserves a later time, spaced by the rate
+// of the limit, so that refused callers do not all retry at once.
 func (b *Bucket) RetryDelay(now time.Time) time.Duration {
 	b.refill(now)
 	first := max(b.filledAt.Sub(now), 0) + secondsToDuration((1-b.tokens)/b.limit.Rate)
--- a/quota/customers.go
+++ b/quota/customers.go
@@ -10,8 +10,8 @@
 	entries *simplelru.LRU[string, T]
 }
 
-// NewPerCustomer returns an empty cache. onEvicted, if not nil, is called for each entry that is removed, whether evicted by a newer one
-// or dropped by Retain.
+// NewPerCustomer returns an empty cache. onEvicted, if not nil, is called for each entry that is removed, whether
+// evicted by a newer one or dropped by Retain.
 func NewPerCustomer[T any](onEvicted func(customer string, entry T)) *PerCustomer[T] {
 	l, err := simplelru.NewLRU(maxCustomers, onEvicted)
 	if err != nil {
--- a/quota/fallback.go
+++ b/quota/fallback.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Fallback is the fallback allotment: what a node may let pass of a customer while it reaches none of the customer's owners. The
-// fleet-wide fallback is divided among the hosts, so that all nodes together pass no more than it in a window, whichever of them are cut
-// off from each other. It does not lock: the caller serializes access.
+// Fallback is the fallback allotment: what a node may let pass of a customer while it reaches none of the customer's
+// owners. The fleet-wide fallback is divided among the hosts, so that all nodes together pass no more than it in a
+// window, whichever of them are cut off from each other. It does not lock: the caller serializes access.
 type Fallback struct {
 	window time.Duration
 	// passed has the times at which requests of each customer passed within the window.
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -53,7 +53,8 @@
 	return fmt.Sprintf("%s%d of %d over the bound, %d break an invariant\n", out, over, count, violating)
 }
 
-// drawnFleet runs a random fleet for 1,200 ticks. It returns the fleet and the most that its nodes may pass in a window.
+// drawnFleet runs a random fleet for 1,200 ticks. It returns the fleet and the most that its nodes may pass in a
+// window.
 func drawnFleet(seed uint64, d *datadriven.TestData) (*simFleet, float64) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	nodes := OwnersPerCustomer + random.IntN(40)
@@ -64,8 +65,8 @@
 	f.longCuts, f.suspends, f.clockStops = d.HasArg("stray"), d.HasArg("suspend"), d.HasArg("steady")
 	highest := limit
 	hotspot := f.nodes[random.IntN(nodes)]
-	// Some fleets have no load for seconds at a time, so that their buckets are full when it returns; some get a new list of hosts as soon
-	// as the previous one has settled; some have no faults.
+	// Some fleets have no load for seconds at a time, so that their buckets are full when it returns; some get a new
+	// list of hosts as soon as the previous one has settled; some have no faults.
 	bursts, newLists, calm := random.IntN(2) == 0, random.IntN(3) == 0, random.IntN(3) == 0
 	for tick := range 1200 {
 		if !calm {
@@ -98,7 +99,8 @@
 	return f, highest.MaxWithin(simWindow+DefaultHolderConfig().AllotmentDuration) + OwnersPerCustomer*minBurst + float64(fallback)
 }
 
-// calmFleet prints the share of a customer's requests that a fleet without faults refuses, and the messages between nodes per request.
+// calmFleet prints the share of a customer's requests that a fleet without faults refuses, and the messages between
+// nodes per request.
 func calmFleet(t *testing.T, d *datadriven.TestData) string {
 	t.Helper()
 	nodes, on, rate, share := 0, 0, 0.0, 0.0
--- a/quota/holder.go
+++ b/quota/holder.go
@@ -11,13 +11,14 @@
 	AllotmentDuration time.Duration
 	// UnresponsiveBackoff is how long an owner that did not answer is not asked again.
 	UnresponsiveBackoff time.Duration
-	// MinBackoff and MaxBackoff bound how long an owner that granted nothing for a customer is not asked again for that customer.
+	// MinBackoff and MaxBackoff bound how long an owner that granted nothing for a customer is not asked again for that
+	// customer.
 	MinBackoff, MaxBackoff time.Duration
 }
 
-// DefaultHolderConfig returns the configuration for a fleet whose nodes answer each other within a few milliseconds. An allotment
-// duration of 250 ms adds a twentieth to what passes in a window of 5 s. An owner that every node of a hall asks five times a second
-// for a customer beyond its limit spends about 1% of a core on it.
+// DefaultHolderConfig returns the configuration for a fleet whose nodes answer each other within a few milliseconds. An
+// allotment duration of 250 ms adds a twentieth to what passes in a window of 5 s. An owner that every node of a hall
+// asks five times a second for a customer beyond its limit spends about 1% of a core on it.
 func DefaultHolderConfig() HolderConfig {
 	return HolderConfig{
 		AllotmentDuration: 250 * time.Millisecond, UnresponsiveBackoff: 250 * time.Millisecond,
@@ -28,11 +29,11 @@
 // demandWindow is the time over which the rate of a customer's requests at this node is averaged.
 const demandWindow = time.Second
 
-// Holder keeps the allotments that owners have granted to this node, and when to ask which owner again. It does not lock: the caller
-// serializes access.
+// Holder keeps the allotments that owners have granted to this node, and when to ask which owner again. It does not
+// lock: the caller serializes access.
 //
-// Invariant: a request passes only on an allotment that has not expired by the node's own monotonic clock. The allotment's duration counts
-// from before it was requested, hence from before it was granted.
+// Invariant: a request passes only on an allotment that has not expired by the node's own monotonic clock. The
+// allotment's duration counts from before it was requested, hence from before it was granted.
 type Holder struct {
 	cfg       HolderConfig
 	customers *PerCustomer[*customerState]
@@ -48,7 +49,8 @@
 	// demandRate is the customer's recent rate of requests at this node, in requests a second, as of demandAt.
 	demandRate float64
 	demandAt   time.Time
-	// emptyUntil has, for each owner that granted nothing, the time until which it is not asked again for this customer.
+	// emptyUntil has, for each owner that granted nothing, the time until which it is not asked again for this
+	// customer.
 	emptyUntil map[string]time.Time
 }
 
@@ -74,8 +76,8 @@
 	return c.expiresAt, true
 }
 
-// Return takes back the use of an allotment that expires at expiresAt, for a request that reached no endpoint. It does nothing if that
-// allotment has expired or the node holds one that expires at another time.
+// Return takes back the use of an allotment that expires at expiresAt, for a request that reached no endpoint. It does
+// nothing if that allotment has expired or the node holds one that expires at another time.
 func (h *Holder) Return(now time.Time, customer string, expiresAt time.Time) {
 	c := h.customer(customer)
 	if !now.Before(expiresAt) || c.remaining > 0 && !c.expiresAt.Equal(expiresAt) {
@@ -85,8 +87,8 @@
 	c.expiresAt = expiresAt
 }
 
-// RecordDemand counts a request of a customer. It returns how many requests to ask an owner for: those expected within one allotment
-// duration, at least one.
+// RecordDemand counts a request of a customer. It returns how many requests to ask an owner for: those expected within
+// one allotment duration, at least one.
 func (h *Holder) RecordDemand(now time.Time, customer string) int {
 	c := h.customer(customer)
 	if !c.demandAt.IsZero() {
@@ -128,8 +130,8 @@
 	h.unresponsiveUntil[owner] = now.Add(h.cfg.UnresponsiveBackoff)
 }
 
-// RetryDelay returns after how long one of the owners should have something to grant for a customer again. reached is false if none of
-// them has answered recently.
+// RetryDelay returns after how long one of the owners should have something to grant for a customer again. reached is
+// false if none of them has answered recently.
 func (h *Holder) RetryDelay(now time.Time, customer string, owners []string) (delay time.Duration, reached bool) {
 	c := h.customer(customer)
 	delay = h.cfg.MaxBackoff
--- a/quota/place.go
+++ b/quota/place.go
@@ -8,9 +8,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// OwnersPerCustomer is how many owners a customer's limit is split between. The share of an owner whose host is down is lost until the
-// list of hosts shows it, ten seconds or more. Where three in ten hosts are down, one customer in 37 would lose all of three owners; one
-// in 1,400 loses all of six.
+// OwnersPerCustomer is how many owners a customer's limit is split between. The share of an owner whose host is down is
+// lost until the list of hosts shows it, ten seconds or more. Where three in ten hosts are down, one customer in 37
+// would lose all of three owners; one in 1,400 loses all of six.
 const OwnersPerCustomer = 6
 
 // Host is a host whose node may be an owner.
@@ -30,8 +30,9 @@
 	candidateHashes []uint64
 }
 
-// NewPlacement returns the placement by a list of hosts, whose order does not matter. In each hall about the square root of the number
-// of hosts may be owners: a node then needs links to few of them, and they share the requests for allotments.
+// NewPlacement returns the placement by a list of hosts, whose order does not matter. In each hall about the square
+// root of the number of hosts may be owners: a node then needs links to few of them, and they share the requests for
+// allotments.
 func NewPlacement(hosts []Host) *Placement {
 	p := &Placement{allHashes: make([]uint64, 0, len(hosts))}
 	byHall := make(map[string][]scoredHost)
@@ -73,8 +74,9 @@
 	})
 }
 
-// Owners returns the owners of a customer's limit, at most OwnersPerCustomer and in different halls as far as possible. They are the
-// candidates with the highest scores (rendezvous hashing), so that a host that is added or removed moves few customers.
+// Owners returns the owners of a customer's limit, at most OwnersPerCustomer and in different halls as far as possible.
+// They are the candidates with the highest scores (rendezvous hashing), so that a host that is added or removed moves
+// few customers.
 func (p *Placement) Owners(customer string) []Host {
 	c := xxhash.Sum64String(customer)
 	all := make([]scoredHost, len(p.candidates))
@@ -96,8 +98,8 @@
 	return owners
 }
 
-// Share returns a host's share of total, an integer that is divided among all hosts of the list. The hosts that get one more than the
-// others, where it does not divide evenly, differ by customer.
+// Share returns a host's share of total, an integer that is divided among all hosts of the list. The hosts that get one
+// more than the others, where it does not divide evenly, differ by customer.
 func (p *Placement) Share(host, customer string, total int) int {
 	n := len(p.allHashes)
 	if n == 0 || total <= 0 {
--- a/quota/sim_test.go
+++ b/quota/sim_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// The nodes of the simulated fleets request and grant allotments, freeze, restart, lose messages and learn of changes late. The tests
-// check the requests that passed, summed over all nodes, in every window.
+// The nodes of the simulated fleets request and grant allotments, freeze, restart, lose messages and learn of changes
+// late. The tests check the requests that passed, summed over all nodes, in every window.
 const (
 	simTick   = 10 * time.Millisecond
 	simWindow = 5 * time.Second
@@ -28,7 +28,8 @@
 	fallback *Fallback
 	// list is the index of the newest list of hosts that it has learned.
 	list int
-	// frozenUntil is until when it does nothing, cutUntil until when it reaches no other node, startedAt when its process started.
+	// frozenUntil is until when it does nothing, cutUntil until when it reaches no other node, startedAt when its
+	// process started.
 	frozenUntil, cutUntil, startedAt time.Duration
 	// grantedUntil is when its allotment expires by the owner's count.
 	grantedUntil time.Duration
@@ -46,7 +47,8 @@
 	now      time.Duration
 	limit    Limit
 	fallback int
-	// evenShares makes every node grant to itself alone; longCuts lets nodes stay cut off for longer than a list takes to settle.
+	// evenShares makes every node grant to itself alone; longCuts lets nodes stay cut off for longer than a list takes
+	// to settle.
 	evenShares, longCuts bool
 	// suspends makes hosts be suspended where they would freeze; clockStops makes their clocks stop meanwhile.
 	suspends, clockStops bool
@@ -56,7 +58,8 @@
 	staleSelfGrants int
 	// usedAfterExpiry counts the requests that passed on allotments that had expired by the owner's count.
 	usedAfterExpiry int
-	// asked counts the requests for allotments, arrived the customer's requests, refused those of them that were refused.
+	// asked counts the requests for allotments, arrived the customer's requests, refused those of them that were
+	// refused.
 	asked   int
 	refused int
 	arrived int
@@ -133,9 +136,9 @@
 	return a, true
 }
 
-// checkSingleOwner checks that no share of a limit is granted by two owners: once a new owner that was up when its list was published
-// has granted from a share, no node that is no owner any more grants by an older list. With longCuts that may happen: staleSelfGrants
-// counts it.
+// checkSingleOwner checks that no share of a limit is granted by two owners: once a new owner that was up when its list
+// was published has granted from a share, no node that is no owner any more grants by an older list. With longCuts that
+// may happen: staleSelfGrants counts it.
 func (f *simFleet) checkSingleOwner(n *simNode) {
 	if n.list > 0 && n.list > f.takenOver && n.startedAt < f.since[n.list] &&
 		!slices.Contains(f.lists[n.list-1].Owners(simCustomer), n.host) {
--- a/ratelimit/limiter.go
+++ b/ratelimit/limiter.go
@@ -36,17 +36,18 @@
 	Policy Policy
 	// Settle is the time within which every node learns of a change of the hosts.
 	Settle time.Duration
-	// Window is the time over which limits are counted. Fallback is how many requests of each customer nodes that reach no owner may pass
-	// in a window, over the whole fleet.
+	// Window is the time over which limits are counted. Fallback is how many requests of each customer nodes that reach
+	// no owner may pass in a window, over the whole fleet.
 	Window   time.Duration
 	Fallback int
 }
 
-// ownerTimeout is how long a node waits for an owner's answer before it asks another owner. Several round trips between regions (20 ms one
-// way) would take too long for requests that must be answered within 100 ms.
+// ownerTimeout is how long a node waits for an owner's answer before it asks another owner. Several round trips between
+// regions (20 ms one way) would take too long for requests that must be answered within 100 ms.
 const ownerTimeout = 40 * time.Millisecond
 
-// retryJitter is the maximum random fraction of itself that is added to a retry delay, so that refused callers do not all retry at once.
+// retryJitter is the maximum random fraction of itself that is added to a retry delay, so that refused callers do not
+// all retry at once.
 const retryJitter = 0.5
 
 // Links gives access to the links to peers.
@@ -64,9 +65,9 @@
 	snapshot func() *configsync.Snapshot
 	links    Links
 	metrics  *metrics.Metrics
-	// now is a clock that also counts the time for which the host is suspended: an allotment expires meanwhile, and its owner grants the same
-	// requests again. With a clock that stops during suspension, 69 requests passed on expired allotments in 250 random fleets whose hosts
-	// were suspended; with this one, none.
+	// now is a clock that also counts the time for which the host is suspended: an allotment expires meanwhile, and its
+	// owner grants the same requests again. With a clock that stops during suspension, 69 requests passed on expired
+	// allotments in 250 random fleets whose hosts were suspended; with this one, none.
 	now clock.Clock
 
 	mu        sync.Mutex
@@ -99,9 +100,9 @@
 	return l
 }
 
-// Observe records a snapshot that became active. It ignores snapshots from before the node is ready: their list of hosts has little more
-// than the node itself, which would take itself for the owner of all customers, and then wait for the first full list to settle as if it
-// were a change.
+// Observe records a snapshot that became active. It ignores snapshots from before the node is ready: their list of
+// hosts has little more than the node itself, which would take itself for the owner of all customers, and then wait for
+// the first full list to settle as if it were a change.
 func (l *Limiter) Observe(snap *configsync.Snapshot) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -138,7 +139,8 @@
 
 func (l *Limiter) isSelf(h quota.Host) bool { return h.ID == l.cfg.Host }
 
-// owners returns the owners of a customer's limit, the nearest first, and none while the hosts are not known. The caller holds l.mu.
+// owners returns the owners of a customer's limit, the nearest first, and none while the hosts are not known. The
+// caller holds l.mu.
 func (l *Limiter) owners(customer string) []quota.Host {
 	if l.placement == nil {
 		return nil
@@ -171,7 +173,8 @@
 	return quota.Limit{Rate: float64(row.Value.Limit), Burst: row.Value.BurstSize()}, true
 }
 
-// Grant answers a peer that asks for an allotment of up to want requests: it grants from this node's share of the customer's limit.
+// Grant answers a peer that asks for an allotment of up to want requests: it grants from this node's share of the
+// customer's limit.
 func (l *Limiter) Grant(customer string, want int) quota.Allotment {
 	limit, ok := limitOf(l.snapshot().State, customer)
 	if !ok {
@@ -265,7 +268,8 @@
 	return l.useHeld(customer)
 }
 
-// askPeer requests an allotment from another node; it returns false if that node cannot be reached or does not answer in time.
+// askPeer requests an allotment from another node; it returns false if that node cannot be reached or does not answer
+// in time.
 func (l *Limiter) askPeer(ctx context.Context, owner, customer string, want int) (quota.Allotment, bool) {
 	host, ok := l.snapshot().ByID[owner]
 	if !ok || !l.links.Usable(host.Address) {
@@ -281,7 +285,8 @@
 	return quota.Allotment{Count: granted, RetryDelay: wait}, err == nil
 }
 
-// useFallback uses this node's share of the fallback allotment if no owner can be reached. Otherwise it returns after how long to retry.
+// useFallback uses this node's share of the fallback allotment if no owner can be reached. Otherwise it returns after
+// how long to retry.
 func (l *Limiter) useFallback(customer string, owners []quota.Host) (Permit, time.Duration, bool) {
 	names := make([]string, 0, len(owners))
 	for _, h := range owners {
--- a/ratelimit/limiter_test.go
+++ b/ratelimit/limiter_test.go
@@ -26,8 +26,8 @@
 // Usable implements Links.
 func (noLinks) Usable(string) bool { return false }
 
-// isolated returns the limiter of host h0, which reaches no peer and is alone in its hall, and a function that shows it a snapshot with
-// that many hosts.
+// isolated returns the limiter of host h0, which reaches no peer and is alone in its hall, and a function that shows it
+// a snapshot with that many hosts.
 func isolated(t *testing.T, policy Policy, limit string) (l *Limiter, show func(hosts int, ready bool)) {
 	t.Helper()
 	row, err := table.NewRow(table.KindCustomer, "acme", []string{"", limit})
@@ -68,9 +68,9 @@
 	return n
 }
 
-// TestFirstHostsNeedNoSettling starts a node in a fleet of three: the first list of hosts after the start is no change that has to settle.
-// When it was treated as one, a fleet that had lost power refused nearly all requests of customers with limits for two seconds after it
-// was back.
+// TestFirstHostsNeedNoSettling starts a node in a fleet of three: the first list of hosts after the start is no change
+// that has to settle. When it was treated as one, a fleet that had lost power refused nearly all requests of customers
+// with limits for two seconds after it was back.
 func TestFirstHostsNeedNoSettling(t *testing.T) {
 	l, show := isolated(t, PolicyAllotments, "1000000")
 	show(1, false)
@@ -84,7 +84,8 @@
 	}
 }
 
-// TestNewOwnerWaitsToSettle checks that a customer's new owner grants nothing before the change of the hosts has settled.
+// TestNewOwnerWaitsToSettle checks that a customer's new owner grants nothing before the change of the hosts has
+// settled.
 func TestNewOwnerWaitsToSettle(t *testing.T) {
 	l, show := isolated(t, PolicyAllotments, "1000000")
 	show(1, true)
@@ -94,8 +95,8 @@
 	}
 }
 
-// TestIsolatedNodeUsesFallbackShare checks that a node that cannot reach any other owner passes no more than its share of the fallback
-// allotment.
+// TestIsolatedNodeUsesFallbackShare checks that a node that cannot reach any other owner passes no more than its share
+// of the fallback allotment.
 func TestIsolatedNodeUsesFallbackShare(t *testing.T) {
 	l, show := isolated(t, PolicyAllotments, "0.000001")
 	show(6, true)
--- a/ratelimit/report.go
+++ b/ratelimit/report.go
@@ -5,14 +5,16 @@
 	"slices"
 )
 
-// Usage counts a customer's requests at one node since the node started. In JSON, Granted is called "lent" and IsOwner "home".
+// Usage counts a customer's requests at one node since the node started. In JSON, Granted is called "lent" and IsOwner
+// "home".
 type Usage struct {
 	// Customer is the customer's name.
 	Customer string `json:"customer"`
 	// Limit and Burst are its limit for the whole fleet, in requests a second and at once.
 	Limit float64 `json:"limit"`
 	Burst float64 `json:"burst"`
-	// Passed counts the sends to endpoints that passed here, Refused the requests that were refused because they exceeded the limit.
+	// Passed counts the sends to endpoints that passed here, Refused the requests that were refused because they
+	// exceeded the limit.
 	Passed  uint64 `json:"passed"`
 	Refused uint64 `json:"refused"`
 	// Granted counts the requests that this node has granted to other nodes, Unused the permits that were returned.
@@ -50,7 +52,8 @@
 	}
 }
 
-// Report returns the usage of the customers with a limit that sent requests recently, those with the most refused requests first.
+// Report returns the usage of the customers with a limit that sent requests recently, those with the most refused
+// requests first.
 func (l *Limiter) Report() []Usage {
 	state := l.snapshot().State
 	l.mu.Lock()
--- a/skipped/list.go
+++ b/skipped/list.go
@@ -11,7 +11,8 @@
 	"github.com/lynxplank/lynxplank/events"
 )
 
-// maxEntries bounds the entries in a list, because another writer may fill a table with entries that no node can decode.
+// maxEntries bounds the entries in a list, because another writer may fill a table with entries that no node can
+// decode.
 const maxEntries = 1000
 
 // Source is where entries come from.
