--- a/poison/record.go
+++ b/poison/record.go
@@ -19,10 +19,10 @@
 	// can bear.
 	BlockThreshold = 3
 	// NoRetryThreshold is the number of crashes from which a request that an endpoint may have received is not sent to
-	// another one: the third crash must not come from a second send. A harmless request loses one retry by it.
+	// a second one: the third crash must not come from a second send. A harmless request loses one retry by it.
 	NoRetryThreshold = 1
 	// SuspicionDuration is how long fewer crashes than BlockThreshold count against a request. A poison request is
-	// repeated within seconds, while an endpoint crashes of itself once in hours.
+	// repeated within seconds, while an endpoint crashes by itself once in hours.
 	SuspicionDuration = 10 * time.Minute
 	// maxCrashes bounds the crashes that a row lists. Those beyond BlockThreshold only inform operators.
 	maxCrashes = 8
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -17,7 +17,7 @@
 //	                                              and in bursts of copies at any node for half a minute. Prints the seeds in which more than
 //	                                              three copies of a request begin to run after they should have been blocked, and how many
 //	                                              run of each. alone: each node counts only the crashes of its own endpoint. calm: no faults
-//	innocent fleets=N nodes=MIN-MAX [mute]        fleets whose endpoints crash of themselves: prints how many harmless requests are blocked.
+//	innocent fleets=N nodes=MIN-MAX [mute]        fleets whose endpoints crash by themselves: prints how many harmless requests are blocked.
 //	                                              mute: nodes at which the requests succeeded do not report that
 func TestFleetBlocksPoisonRequests(t *testing.T) {
 	datadriven.RunTest(t, "testdata/fleets", func(t *testing.T, d *datadriven.TestData) string {
--- a/quarantine/innocent_test.go
+++ b/quarantine/innocent_test.go
@@ -17,7 +17,7 @@
 	finishesAt  time.Duration
 }
 
-// innocentFleet is a fleet in which endpoints crash of themselves, singly and a third of them at once, and no request
+// innocentFleet is a fleet in which endpoints crash by themselves, singly and a third of them at once, and no request
 // crashes any. Many callers send some of the same requests, and a caller that gets no answer repeats its request up to
 // four times.
 type innocentFleet struct {
@@ -158,7 +158,7 @@
 			continue
 		}
 		f.after(time.Duration(1+f.random.IntN(40))*time.Millisecond, func() {
-			if f.reaches(to) && to.view.clear(c, to.view.get(c)) {
+			if f.reaches(to) && to.view.markCleared(c, to.view.get(c)) {
 				f.cleared(to, c)
 				f.reportSuccess(to, c, gossipFanout)
 			}
@@ -168,7 +168,7 @@
 
 // cleared makes a node remove the row of a request that succeeded, unless the row has changed by then.
 func (f *innocentFleet) cleared(n *simNode, c poison.Fingerprint) {
-	n.view.clear(c, n.view.get(c))
+	n.view.markCleared(c, n.view.get(c))
 	version := n.view.rows[c].Version
 	if version == 0 || f.storeDownUntil > f.now {
 		return
--- a/quarantine/sim_test.go
+++ b/quarantine/sim_test.go
@@ -20,8 +20,8 @@
 	simRecovery = 3 * time.Second
 	// simDown is how long an endpoint is down after a crash.
 	simDown = 3 * time.Second
-	// simRowDelay is the maximum time in which a row reaches a node without faults: the node's peer polls the store,
-	// collects the changes, and the node pulls them.
+	// simRowDelay is the maximum time in which a row reaches a node without faults: a poll of the store, the
+	// collection of what it has found, and a pull.
 	simRowDelay = 1500 * time.Millisecond
 	// simLinks is how many links a node of a large fleet has.
 	simLinks   = 24
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -55,7 +55,8 @@
 	links    Links
 	snapshot func() *configsync.Snapshot
 	table    changes.Table
-	// crashCounts is a copy of the view's crash counts, which the request path reads without a lock.
+	// crashCounts is a copy of the view's crash counts. It is all that the request path needs, and is read without a
+	// lock.
 	crashCounts atomic.Pointer[map[poison.Fingerprint]int]
 	wake        chan struct{}
 	stop        context.CancelFunc
@@ -138,7 +139,7 @@
 		return
 	}
 	t.toRemove[f] = now
-	t.view.clear(f, t.view.get(f))
+	t.view.markCleared(f, t.view.get(f))
 	t.publish()
 	t.wakeWriter()
 	t.links.TellEnded(&peerpb.Ended{Contents: [][]byte{f[:]}, Ran: true}, -1)
@@ -153,7 +154,7 @@
 	defer t.mu.Unlock()
 	for _, b := range report.GetContents() {
 		f, ok := poison.FingerprintFromBytes(b)
-		if !ok || !t.view.clear(f, t.view.get(f)) {
+		if !ok || !t.view.markCleared(f, t.view.get(f)) {
 			continue
 		}
 		forward.Contents = append(forward.Contents, b)
@@ -228,7 +229,7 @@
 	}
 }
 
-// Observe takes the rows of a snapshot that became active.
+// Observe replaces the rows in view by those of a snapshot that became active.
 func (t *Tracker) Observe(snap *configsync.Snapshot) {
 	revision := snap.State.Revisions()[table.PlaneFatal]
 	t.mu.Lock()
--- a/quarantine/view.go
+++ b/quarantine/view.go
@@ -95,7 +95,7 @@
 func (v *view) setRows(rows map[poison.Fingerprint]table.Entry[table.Fatal]) {
 	for f, row := range v.rows {
 		if _, ok := rows[f]; !ok {
-			v.clear(f, row.Value)
+			v.markCleared(f, row.Value)
 		}
 	}
 	v.rows = rows
@@ -108,9 +108,9 @@
 	return !slices.ContainsFunc(r.Ends.List(), func(id string) bool { return !slices.Contains(ids, id) })
 }
 
-// clear clears a fingerprint of the crashes in row and of all reported ones, so that late reports of them change
+// markCleared clears a fingerprint of the crashes in row and of all reported ones, so that late reports of them change
 // nothing. It returns whether any of them was not cleared before.
-func (v *view) clear(f poison.Fingerprint, row table.Fatal) (isNew bool) {
+func (v *view) markCleared(f poison.Fingerprint, row table.Fatal) (isNew bool) {
 	for _, id := range slices.Concat(row.Ends.List(), v.reports[f].Ends.List()) {
 		cr := crash{f, id}
 		if !v.cleared[cr] {
