--- a/ratelimit/limiter.go
+++ b/ratelimit/limiter.go
@@ -20,7 +20,7 @@
 // Policy is how a customer's limit is divided between nodes.
 type Policy string
 
-// The policies, by their names in the settings.
+// The policies. The strings are their names in the settings.
 const (
 	// PolicyAllotments lets the owners of a limit grant allotments to the nodes that need them.
 	PolicyAllotments Policy = "lent"
