--- a/configsync/read.go
+++ b/configsync/read.go
@@ -84,7 +84,7 @@
 func (f *Follower) readOwn(ctx context.Context) {
 	r := &ownReader{
 		f: f, rows: changes.NewReader(f.platform, changes.WithBad(f.leaveOut)), state: table.NewState(), fatals: newRowPlane(table.PlaneFatal),
-		failing: retry.Backoff{First: f.cfg.Retry, Most: f.cfg.RetryMost},
+		failing: retry.Backoff{Initial: f.cfg.Retry, Max: f.cfg.RetryMost},
 	}
 	for {
 		wait := f.cfg.Retry
--- a/egress/ended.go
+++ b/egress/ended.go
@@ -168,7 +168,7 @@
 func (e *Egress) leaves(l *local) bool {
 	if e.announced != nil {
 		if r, ok := e.announced.Endpoint(l.key); ok {
-			return r.Leaving
+			return r.Draining
 		}
 	}
 	row, ok := e.state().Endpoint(l.key)
--- a/ingress/hedge_test.go
+++ b/ingress/hedge_test.go
@@ -115,7 +115,7 @@
 func (*scripted) Settle(*peerpb.Settle) {}
 
 // Work implements Local.
-func (*scripted) Work(string) inflight.Work { return inflight.Work{} }
+func (*scripted) Work(string) inflight.Snapshot { return inflight.Snapshot{} }
 
 // fleet returns a state with a service of some endpoints, all beside this node, and a route to it.
 func fleet(t *testing.T, endpoints, attempts int) *table.State {
--- a/node/node.go
+++ b/node/node.go
@@ -157,7 +157,7 @@
 	keeper = quarantine.New(quarantine.Config{
 		Host: n.cfg.Node.ID, RetryInterval: n.cfg.Platform.Retry.Std(), MaxRetryInterval: n.cfg.Platform.RetryMost.Std(), Timeout: n.cfg.Platform.Timeout.Std(),
 	}, n.log, client, links, follower.Snapshot)
-	egressOptions := []egress.Option{egress.WithEndings(keeper), egress.WithBudget(n.budget)}
+	egressOptions := []egress.Option{egress.WithCrashTracker(keeper), egress.WithBudget(n.budget)}
 	limits = ratelimit.New(n.allowanceConfig(), n.log, follower.Snapshot, links, m)
 	follower.ShowSelf(n.announceConfig(incarnation).Host)
 	view := hostView{self: n.cfg.Node.ID, snapshot: follower.Snapshot, links: links}
@@ -165,14 +165,14 @@
 		egressOptions = append(egressOptions, egress.WithRegistry(n.announced))
 	}
 	d := director.New(director.Config{
-		Host: n.cfg.Node.ID, Hall: n.cfg.Node.Hall, Choosers: func() []string { return follower.Snapshot().HallHosts },
-		RegionOf: func(hall string) string { return follower.Snapshot().RegionOf(hall) },
-		Distance: hallDistance, Ejection: n.ejection(),
+		Host: n.cfg.Node.ID, Hall: n.cfg.Node.Hall, HallHosts: func() []string { return follower.Snapshot().HallHosts },
+		RegionOf:     func(hall string) string { return follower.Snapshot().RegionOf(hall) },
+		InterHallRTT: hallDistance, Ejection: n.ejection(),
 	}, n.log, follower.State, view.leaving, view.usable)
 	e = egress.New(n.egressConfig(incarnation), n.log, follower.State, egressOptions...)
 	links.Handle(handler{Egress: e, follower: follower, limits: limits, keeper: keeper})
-	g := ingress.New(n.ingressConfig(incarnation), n.log, follower.Snapshot, d, links, e, m, ingress.WithConfirm(follower.Confirm),
-		ingress.WithLimits(limits), ingress.WithFatal(keeper), ingress.WithBudget(n.budget))
+	g := ingress.New(n.ingressConfig(incarnation), n.log, follower.Snapshot, d, links, e, m, ingress.WithNewestConfigCheck(follower.Confirm),
+		ingress.WithLimits(limits), ingress.WithCrashCounter(keeper), ingress.WithBudget(n.budget))
 	n.kernel.Register(Announcer, a)
 	n.kernel.Register(Keeper, keeper)
 	n.kernel.Register(Reaper, announce.NewReaper(n.cfg.Node.ID, n.cfg.Peers.GoneAfter.Std(), n.cfg.Platform.Timeout.Std(),
@@ -207,7 +207,7 @@
 	n.kernel.Register(Ingress, g)
 	callers := pipeline.New(Callers, n.cfg.Callers.Listen.String(), n.callerLimits(f.State), g,
 		ingress.RefuseUnread(n.contract()))
-	callers.HoldBodies(func(h http.Header) *memory.Hold { return n.budget.Hold(g.Payer(h)) })
+	callers.HoldBodies(func(h http.Header) *memory.Reservation { return n.budget.NewReservation(g.CustomerOf(h)) })
 	callers.OnPanic(func(value any, stack []byte) {
 		events.HandlerPanicked.Log(n.log).Any("value", value).Bytes("stack", stack).Send()
 	})
--- a/quarantine/write.go
+++ b/quarantine/write.go
@@ -31,7 +31,7 @@
 	defer close(t.done)
 	tick := time.NewTicker(maintenanceInterval)
 	defer tick.Stop()
-	backoff := retry.Backoff{First: t.cfg.RetryInterval, Most: t.cfg.MaxRetryInterval}
+	backoff := retry.Backoff{Initial: t.cfg.RetryInterval, Max: t.cfg.MaxRetryInterval}
 	var retryDue <-chan time.Time
 	for {
 		select {
