--- a/egress/cold_test.go
+++ b/egress/cold_test.go
@@ -61,8 +61,8 @@
 		t.Fatal(err)
 	}
 	cfg := Config{
-		Host: "h1", Hall: "hall-1", ProbeEvery: time.Second, KeyWindow: time.Minute, KeyBytes: 1 << 20,
-		Cold: coldstart.Bound{Over: 1.2, Slack: 4},
+		Host: "h1", Hall: "hall-1", ProbeInterval: time.Second, KeyWindow: time.Minute, KeyBytes: 1 << 20,
+		ColdLimit: coldstart.Bound{Over: 1.2, Slack: 4},
 	}
 	e = New(cfg, &log, func() *table.State { return s }, WithRegistry(r))
 	sequence := uint64(0)
--- a/egress/egress.go
+++ b/egress/egress.go
@@ -36,12 +36,12 @@
 	// ProbePath is asked of an endpoint that said it is leaving.
 	ProbePath string
 	// ProbeEvery is the time between these questions.
-	ProbeEvery time.Duration
+	ProbeInterval time.Duration
 	// KeyWindow is how long idempotency keys are remembered.
 	KeyWindow time.Duration
 	// KeySettle is how long a change of the endpoints may take to be in force everywhere, for keys and for the parts of the
 	// retries alike.
-	KeySettle time.Duration
+	ConvergenceTime time.Duration
 	// KeyBytes bounds the memory for keys, in bytes.
 	KeyBytes int
 	// Contract says how endpoints are spoken to; nil stands for the product's own.
@@ -51,7 +51,7 @@
 	// Retries is the slack of retries that the fleet's endpoints share.
 	Retries retry.Share
 	// Cold is by how much a second of a cold endpoint may go beyond what its service says that it bears; its Rate is not used.
-	Cold coldstart.Bound
+	ColdLimit coldstart.Bound
 }
 
 // Egress serves the endpoints beside this node; it is a kernel component.
@@ -65,7 +65,7 @@
 	pool    *upstream.Pool
 	// announced are the endpoints that announce themselves beside this node.
 	announced *registry.Registry
-	endings   Endings
+	endings   CrashTracker
 	clock     clock.Clock
 	// budget is what this node may hold of answers whose callers read slowly, or may ask again.
 	budget *memory.Budget
@@ -94,7 +94,7 @@
 )
 
 // Endings gathers what is known of requests under which endpoints ended.
-type Endings interface {
+type CrashTracker interface {
 	// Ends returns how many endpoints ended under a content.
 	Ends(c poison.Content) int
 	// Ran notes that an endpoint ran a content to a good end.
@@ -116,7 +116,7 @@
 func (noEndings) EndedHere(string, string, []poison.Content) {}
 
 // WithEndings has the egress tell of endpoints that end, and refuse requests that end them.
-func WithEndings(g Endings) Option { return func(e *Egress) { e.endings = g } }
+func WithCrashTracker(g CrashTracker) Option { return func(e *Egress) { e.endings = g } }
 
 // WithClock replaces the clock that counts the time in which the host is suspended.
 func WithClock(c clock.Clock) Option { return func(e *Egress) { e.clock = c } }
@@ -143,7 +143,7 @@
 	}
 	e := &Egress{
 		cfg: cfg, log: log, state: state,
-		keys:   newKeys(dedupe.NewHome(cfg.KeyWindow, cfg.KeyBytes), cfg.KeyWindow, cfg.KeySettle),
+		keys:   newKeys(dedupe.NewHome(cfg.KeyWindow, cfg.KeyBytes), cfg.KeyWindow, cfg.ConvergenceTime),
 		locals: make(map[string]*local), records: newRecords(), pool: upstream.NewPool(), endings: noEndings{}, clock: clock.Boot,
 		budget: memory.New(defaultBudget),
 	}
--- a/egress/local.go
+++ b/egress/local.go
@@ -85,8 +85,8 @@
 		queue:   admission.NewQueue(int(row.Value.Slots), 0, random),
 		waiters: make(map[uint64]chan admission.Decision),
 		asking:  make(map[uint64]peer.Sink),
-		times:   latency.NewKinds(), retries: retry.NewBudget(time.Now(), cfg.Retries.Window, cfg.KeySettle),
-		arrivals: arrivals{toldAt: time.Now()}, cold: coldstart.NewDoor(c(), cfg.Cold), clock: c,
+		times:   latency.NewKinds(), retries: retry.NewBudget(time.Now(), cfg.Retries.Window, cfg.ConvergenceTime),
+		arrivals: arrivals{toldAt: time.Now()}, cold: coldstart.NewDoor(c(), cfg.ColdLimit), clock: c,
 	}
 }
 
@@ -103,7 +103,7 @@
 	l.share = float64(service.Value.RetryBudget)
 	l.service, l.part = row.Value.Service, partOf(row.Key, service, cfg.Retries)
 	l.retries.SetSlack(time.Now(), l.part)
-	bound := cfg.Cold
+	bound := cfg.ColdLimit
 	bound.Rate = float64(service.Value.ColdRate)
 	now := l.clock()
 	l.cold.SetBound(now, bound)
--- a/node/config.go
+++ b/node/config.go
@@ -138,14 +138,14 @@
 func (n *Node) egressConfig(incarnation uint64) egress.Config {
 	c := n.cfg.Endpoints
 	return egress.Config{
-		Host: n.cfg.Node.ID, Hall: n.cfg.Node.Hall, Incarnation: incarnation, ProbePath: c.ProbePath, ProbeEvery: c.ProbeEvery.Std(),
-		KeyWindow: c.KeyWindow.Std(), KeySettle: c.KeySettle.Std(), KeyBytes: int(c.KeyBytes),
+		Host: n.cfg.Node.ID, Hall: n.cfg.Node.Hall, Incarnation: incarnation, ProbePath: c.ProbePath, ProbeInterval: c.ProbeEvery.Std(),
+		KeyWindow: c.KeyWindow.Std(), ConvergenceTime: c.KeySettle.Std(), KeyBytes: int(c.KeyBytes),
 		Contract: n.contract(), Breaker: breaker.DefaultConfig(),
 		Retries: retry.Share{
 			Slack: n.cfg.Retries.Slack * n.cfg.Retries.Use, Window: n.cfg.Retries.Window.Std(),
 			Most: n.cfg.Retries.MostBurst,
 		},
-		Cold: coldstart.Bound{Over: n.cfg.Cold.Over, Slack: n.cfg.Cold.Slack},
+		ColdLimit: coldstart.Bound{Over: n.cfg.Cold.Over, Slack: n.cfg.Cold.Slack},
 	}
 }
 
--- a/node/node.go
+++ b/node/node.go
@@ -157,7 +157,7 @@
 	keeper = quarantine.New(quarantine.Config{
 		Host: n.cfg.Node.ID, Retry: n.cfg.Platform.Retry.Std(), RetryMost: n.cfg.Platform.RetryMost.Std(), Timeout: n.cfg.Platform.Timeout.Std(),
 	}, n.log, client, links, follower.Snapshot)
-	egressOptions := []egress.Option{egress.WithEndings(keeper), egress.WithBudget(n.budget)}
+	egressOptions := []egress.Option{egress.WithCrashTracker(keeper), egress.WithBudget(n.budget)}
 	limits = ratelimit.New(n.allowanceConfig(), n.log, follower.Snapshot, links, m)
 	follower.ShowSelf(n.announceConfig(incarnation).Host)
 	view := hostView{self: n.cfg.Node.ID, snapshot: follower.Snapshot, links: links}
--- a/node/sampler.go
+++ b/node/sampler.go
@@ -140,13 +140,13 @@
 		if e.Trial {
 			trials++
 		}
-		if e.Leaving {
+		if e.Draining {
 			leaving++
 		}
-		first += float64(e.Arrivals.First)
-		further += float64(e.Arrivals.Further)
-		ofFurther += e.Arrivals.OfFurther
-		spent += float64(e.Arrivals.Spent)
+		first += float64(e.Arrivals.FirstSends)
+		further += float64(e.Arrivals.Retries)
+		ofFurther += e.Arrivals.CallsOfRetries
+		spent += float64(e.Arrivals.RetriesRefused)
 	}
 	suspected, barred := s.keeper.Counts()
 	s.metrics.Gauge("fatal_suspected", float64(suspected))
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -171,7 +171,7 @@
 	snap := o.snapshot()
 	s := Status{
 		Node: o.node, Hall: o.hall, Ready: snap.Ready, Revision: snap.State.Revision(), Hosts: len(snap.Hosts),
-		Process: process(), Keys: o.egress.Keys(), Endpoints: o.egress.Statuses(),
+		Process: process(), Keys: o.egress.KeyCount(), Endpoints: o.egress.Statuses(),
 	}
 	held := snap.State.Revisions()
 	s.Config, s.HostsRevision = held[table.PlaneConfig], held[table.PlaneHosts]
