--- a/egress/close_test.go
+++ b/egress/close_test.go
@@ -13,11 +13,12 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// TestClosedDoorTurnsWaitingAway tells of requests that waited for a slot beside a stopping node until the node was gone: its door was closed to
-// new requests alone, and what waited behind it learned of the stop with the next free slot only.
+// TestCloseRefusesQueuedRequests guards against requests that waited for a slot beside a stopping node until the node
+// was gone: Close refused new requests only, and the queued ones learned of the stop when the next slot became free.
 //
-// Here the slots stay taken. What waits is told at once that the door is closed, so that another endpoint can have it; what runs goes on.
-func TestClosedDoorTurnsWaitingAway(t *testing.T) {
+// Here the slots stay taken. A queued request must be refused at once, so that another endpoint can take it; running
+// ones continue.
+func TestCloseRefusesQueuedRequests(t *testing.T) {
 	const slots = 4
 	began, gate := make(chan struct{}, slots), make(chan struct{})
 	release := sync.OnceFunc(func() { close(gate) })
@@ -27,22 +28,22 @@
 	}))
 	t.Cleanup(server.Close)
 	t.Cleanup(release)
-	e := at(t, strings.TrimPrefix(server.URL, "http://"), table.Active)
+	e := newTestEgress(t, strings.TrimPrefix(server.URL, "http://"), table.Active)
 	ends := make(chan *peerpb.End, slots+1)
-	patient := func() {
+	sendPatient := func() {
 		d := payment()
 		d.BudgetMicros, d.UsualMicros = time.Minute.Microseconds(), time.Millisecond.Microseconds()
 		ends <- serve(t, e, d)
 	}
 	for range slots {
-		go patient()
+		go sendPatient()
 		<-began
 	}
-	go patient()
+	go sendPatient()
 	waiting := func() bool {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		return e.locals["e1"].load(0, 0).GetQueued() > 0
+		return e.endpoints["e1"].loadReport(0, 0).GetQueued() > 0
 	}
 	for !waiting() {
 		if len(ends) > 0 {
--- a/egress/cold.go
+++ b/egress/cold.go
@@ -10,37 +10,38 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// observeHall takes it that the endpoints beside this node may have turned cold while their hall was evacuated.
+// observeHall records that the endpoints beside this node may have become cold while their hall was evacuated.
 func (e *Egress) observeHall(s *table.State) {
 	evacuated := s.Evacuated(e.cfg.Hall)
 	if e.evacuated.Swap(evacuated) || evacuated {
 		now := e.clock()
-		e.hallDoubt.Store(&now)
-		for _, l := range e.all() {
-			l.mayBeCold()
+		e.hallEvacuatedAt.Store(&now)
+		for _, l := range e.allEndpoints() {
+			l.notePossiblyCold()
 		}
 	}
 }
 
-// all returns the endpoints that have had work.
-func (e *Egress) all() []*local {
+// allEndpoints returns the endpoints known so far.
+func (e *Egress) allEndpoints() []*localEndpoint {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	out := make([]*local, 0, len(e.locals))
-	for _, l := range e.locals {
+	out := make([]*localEndpoint, 0, len(e.endpoints))
+	for _, l := range e.endpoints {
 		out = append(out, l)
 	}
 	return out
 }
 
-// admitCold lets a request that holds a slot pass the endpoint's door while that is cold, or may be, and returns when, or the refusal. One
-// that waits for a slot waits for its turn here too, as long as its answer can still be in time.
-func (e *Egress) admitCold(ctx context.Context, l *local, d *peerpb.Dispatch) (admitted time.Time, end *peerpb.End) {
-	until := time.Now().Add(aimLeft(d) - l.expected(d))
+// waitWhileCold passes a request that holds a slot through the endpoint's cold-start limiter, and returns when it was
+// admitted, or the refusal. A request that may wait for a slot may wait here too, as long as its answer can still be
+// in time.
+func (e *Egress) waitWhileCold(ctx context.Context, l *localEndpoint, d *peerpb.Dispatch) (admitted time.Time, end *peerpb.End) {
+	until := time.Now().Add(latencyTarget(d) - l.expectedDuration(d))
 	mayWait := d.GetExchange() == 0 || d.GetWait()
 	for {
-		e.hear(l)
-		admitted, ok, wait := l.admitCold()
+		e.updateColdReport(l)
+		admitted, ok, wait := l.tryAdmitCold()
 		if ok {
 			return admitted, nil
 		}
@@ -55,62 +56,64 @@
 	}
 }
 
-// hear brings the endpoint's latest word of whether it is cold to its door.
-func (e *Egress) hear(l *local) {
+// updateColdReport passes the endpoint's latest report on whether it is cold to its cold-start limiter.
+func (e *Egress) updateColdReport(l *localEndpoint) {
 	if e.announced == nil {
-		l.saysNothing()
+		l.assumeWarmup()
 		return
 	}
 	if r, ok := e.announced.Endpoint(l.key); ok && !r.ToldAt.IsZero() {
-		l.told(r.ToldAt, r.ColdUntil)
+		l.noteColdReport(r.ToldAt, r.ColdUntil)
 	}
 }
 
-// told takes the endpoint's word of a time, until when it is cold.
-func (l *local) told(at, coldUntil time.Time) {
+// noteColdReport records the endpoint's report, made at the time at, that it is cold until coldUntil.
+func (l *localEndpoint) noteColdReport(at, coldUntil time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.cold.Told(at, coldUntil)
-	l.spoke = true
+	l.coldLimiter.Told(at, coldUntil)
+	l.reportsCold = true
 }
 
-// saysNothing takes an endpoint that does not announce itself as cold for the service's time from when it began.
-func (l *local) saysNothing() {
+// assumeWarmup treats an endpoint that does not announce itself as cold for its service's warm-up time, counted from
+// its start.
+func (l *localEndpoint) assumeWarmup() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.cold.Told(l.clock(), l.coldTill)
+	l.coldLimiter.Told(l.clock(), l.coldUntil)
 }
 
-// admitCold lets a request pass the door now, else tells when to come back.
-func (l *local) admitCold() (now time.Time, ok bool, wait time.Duration) {
+// tryAdmitCold asks the cold-start limiter to admit a request now; if it does not, wait is when to ask again.
+func (l *localEndpoint) tryAdmitCold() (now time.Time, ok bool, wait time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now = l.clock()
-	ok, wait = l.cold.Admit(now)
+	ok, wait = l.coldLimiter.Admit(now)
 	return now, ok, wait
 }
 
-// notSent gives back the admission of a request that did not reach the endpoint.
-func (l *local) notSent() {
+// returnColdAdmission returns the admission of a request that did not reach the endpoint.
+func (l *localEndpoint) returnColdAdmission() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.cold.Return(l.clock())
+	l.coldLimiter.Return(l.clock())
 }
 
-// mayBeCold takes it that the endpoint may have turned cold.
-func (l *local) mayBeCold() {
+// notePossiblyCold records that the endpoint may have become cold.
+func (l *localEndpoint) notePossiblyCold() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock()
-	l.cold.Doubt(now)
-	l.coldTill = now.Add(l.warmup)
+	l.coldLimiter.Doubt(now)
+	l.coldUntil = now.Add(l.warmup)
 }
 
-// coldMicros is how much longer the endpoint is cold by its own word, nil where it has said nothing; the lock is held.
-func (l *local) coldMicros() *int64 {
-	if !l.spoke {
+// coldMicros is how much longer the endpoint is cold by its own report, nil if it has not reported; the lock must be
+// held.
+func (l *localEndpoint) coldMicros() *int64 {
+	if !l.reportsCold {
 		return nil
 	}
-	micros := l.cold.Cold(l.clock()).Microseconds()
+	micros := l.coldLimiter.Cold(l.clock()).Microseconds()
 	return &micros
 }
--- a/egress/cold_test.go
+++ b/egress/cold_test.go
@@ -18,38 +18,38 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// arrivalTimes is an endpoint that notes when requests come.
-type arrivalTimes struct {
+// arrivalRecorder is an endpoint that records when requests arrive.
+type arrivalRecorder struct {
 	mu sync.Mutex
 	at []time.Time
 }
 
 // ServeHTTP implements http.Handler.
-func (a *arrivalTimes) ServeHTTP(http.ResponseWriter, *http.Request) {
+func (a *arrivalRecorder) ServeHTTP(http.ResponseWriter, *http.Request) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.at = append(a.at, time.Now())
 }
 
-// most is the largest number of arrivals in a second.
-func (a *arrivalTimes) most() int {
+// maxPerSecond returns the largest number of arrivals within a second.
+func (a *arrivalRecorder) maxPerSecond() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	most, first := 0, 0
+	maxArrivals, first := 0, 0
 	for i, at := range a.at {
 		for at.Sub(a.at[first]) > time.Second {
 			first++
 		}
-		most = max(most, i-first+1)
+		maxArrivals = max(maxArrivals, i-first+1)
 	}
-	return most
+	return maxArrivals
 }
 
-// coldEndpoint returns an egress whose one endpoint announces itself and bears 20 requests a second while it is cold, 24 and 4 in any
-// second at most; say brings its word of how long it is cold.
-func coldEndpoint(t *testing.T) (e *Egress, at *arrivalTimes, say func(cold time.Duration)) {
+// coldEndpoint returns an egress with one endpoint that announces itself. While it is cold it bears 20 requests a second,
+// and at most 24 plus a slack of 4 within any one second. report sends a heartbeat that says how long it is still cold.
+func coldEndpoint(t *testing.T) (e *Egress, at *arrivalRecorder, report func(cold time.Duration)) {
 	t.Helper()
-	at = &arrivalTimes{}
+	at = &arrivalRecorder{}
 	server := httptest.NewServer(at)
 	t.Cleanup(server.Close)
 	log := zerolog.Nop()
@@ -66,7 +66,7 @@
 	}
 	e = New(cfg, &log, func() *table.State { return s }, WithRegistry(r))
 	sequence := uint64(0)
-	say = func(cold time.Duration) {
+	report = func(cold time.Duration) {
 		sequence++
 		beat := registry.Beat{
 			Instance: "e1", Service: "desk", Address: strings.TrimPrefix(server.URL, "http://"), Slots: 50, Sequence: sequence, Cold: cold,
@@ -75,10 +75,10 @@
 			t.Fatal(err)
 		}
 	}
-	return e, at, say
+	return e, at, report
 }
 
-// coldLookup asks for a slot and waits for none, or for its turn.
+// coldLookup returns a request that, without wait, is refused if it cannot be admitted at once.
 func coldLookup(wait bool) *peerpb.Dispatch {
 	return &peerpb.Dispatch{
 		Endpoint: "e1", Service: "desk", Method: http.MethodGet, Target: "/", Repeatable: true, Exchange: 1, Wait: wait,
@@ -86,29 +86,29 @@
 	}
 }
 
-// TestColdEndpointGetsWhatItBears presses an endpoint that says that it is cold, by itself and by what its hall went through: whoever
-// sends, no second brings more than it bears, the rest is told as not run and when to come back, those that may wait are served in their
-// turn; warm by its own word it takes everything.
-func TestColdEndpointGetsWhatItBears(t *testing.T) {
-	e, at, say := coldEndpoint(t)
-	say(10 * time.Second)
-	refused := press(t, e, 1500*time.Millisecond)
-	if got, most := at.most(), 28; got > most || got < 10 || refused == 0 {
-		t.Errorf("arrivals in a second: got %d, refused %d, want 10 to %d and some refused", got, refused, most)
+// TestColdEndpointIsRateLimited sends many requests to an endpoint that reports that it is cold. In no second does it
+// get more than it bears; the other requests are reported as not run, with a time to come back, and those that may
+// wait are admitted later. Once it reports that it is warm, it gets everything.
+func TestColdEndpointIsRateLimited(t *testing.T) {
+	e, at, report := coldEndpoint(t)
+	report(10 * time.Second)
+	refused := flood(t, e, 1500*time.Millisecond)
+	if got, limit := at.maxPerSecond(), 28; got > limit || got < 10 || refused == 0 {
+		t.Errorf("arrivals in a second: got %d, refused %d, want 10 to %d and some refused", got, refused, limit)
 	}
 	var wg sync.WaitGroup
 	for range 10 {
 		wg.Go(func() {
 			if end := serve(t, e, coldLookup(true)); end.GetOutcome() != peerpb.Outcome_OUTCOME_RAN {
-				t.Errorf("one that waits: got %v, want it to run", end)
+				t.Errorf("request that may wait: got %v, want it to run", end)
 			}
 		})
 	}
 	wg.Wait()
-	if got, most := at.most(), 28; got > most {
-		t.Errorf("arrivals in a second with those that waited: got %d, want at most %d", got, most)
+	if got, limit := at.maxPerSecond(), 28; got > limit {
+		t.Errorf("arrivals in a second with requests that waited: got %d, want at most %d", got, limit)
 	}
-	say(0)
+	report(0)
 	for range 40 {
 		if end := serve(t, e, coldLookup(false)); end.GetOutcome() != peerpb.Outcome_OUTCOME_RAN {
 			t.Fatalf("once warm: got %v, want it to run", end)
@@ -116,8 +116,8 @@
 	}
 }
 
-// press sends many requests that wait for nothing, for some time, and returns how many were refused.
-func press(t *testing.T, e *Egress, d time.Duration) (refused int) {
+// flood sends requests that do not wait, for a time, and returns how many were refused.
+func flood(t *testing.T, e *Egress, d time.Duration) (refused int) {
 	t.Helper()
 	for until := time.Now().Add(d); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
 		end := serve(t, e, coldLookup(false))
@@ -128,22 +128,23 @@
 			t.Fatalf("request: got %v, want it to run or to be refused as cold, with a time to come back", end)
 		}
 		if end.GetLoad().GetColdMicros() == 0 {
-			t.Fatalf("refusal: got %v, want the endpoint's word of how long it is cold", end)
+			t.Fatalf("refusal: got %v, want the endpoint's report of how long it is cold", end)
 		}
 		refused++
 	}
 	return refused
 }
 
-// TestReturnedHallIsInDoubt has a hall evacuated and taken back: until its endpoint gives its word anew, it gets what a cold one bears.
-func TestReturnedHallIsInDoubt(t *testing.T) {
-	e, _, say := coldEndpoint(t)
-	say(0)
+// TestRestoredHallIsPossiblyCold evacuates a hall and ends the evacuation: until its endpoint reports again, it gets
+// no more than a cold one bears.
+func TestRestoredHallIsPossiblyCold(t *testing.T) {
+	e, _, report := coldEndpoint(t)
+	report(0)
 	if end := serve(t, e, coldLookup(false)); end.GetOutcome() != peerpb.Outcome_OUTCOME_RAN {
 		t.Fatalf("before: got %v, want it to run", end)
 	}
-	home := e.state()
-	for _, s := range []*table.State{withHall(t, home, table.Hall{Evacuated: true}), home} {
+	original := e.state()
+	for _, s := range []*table.State{withHall(t, original, table.Hall{Evacuated: true}), original} {
 		e.observeHall(s)
 	}
 	passed := 0
@@ -152,27 +153,28 @@
 			passed++
 		}
 	}
-	if got, most := passed, 28; got > most {
-		t.Errorf("passed at once after the return: got %d, want at most %d", got, most)
+	if got, limit := passed, 28; got > limit {
+		t.Errorf("passed at once after the evacuation: got %d, want at most %d", got, limit)
 	}
-	say(0)
+	report(0)
 	if end := serve(t, e, coldLookup(false)); end.GetOutcome() != peerpb.Outcome_OUTCOME_RAN {
-		t.Errorf("after its word: got %v, want it to run", end)
+		t.Errorf("after its report: got %v, want it to run", end)
 	}
 }
 
-// TestLateWordIsNotSent has a sender give its word only after the time in which an admission counts: the request is told as not run.
-func TestLateWordIsNotSent(t *testing.T) {
-	e, at, say := coldEndpoint(t)
+// TestLateConfirmationIsNotRun has a sender confirm only after the time for which an admission holds: the request is
+// reported as not run.
+func TestLateConfirmationIsNotRun(t *testing.T) {
+	e, at, report := coldEndpoint(t)
 	lost := time.Duration(0)
 	e.clock = func() time.Time { return clock.Boot().Add(lost) }
-	say(0)
+	report(0)
 	d := coldLookup(false)
-	end := e.Serve(t.Context(), d, strings.NewReader(""), slowWord{meanwhile: func() { lost = 2 * coldstart.SendWithin }})
+	end := e.Serve(t.Context(), d, strings.NewReader(""), confirmingSink{beforeConfirming: func() { lost = 2 * coldstart.SendWithin }})
 	if got, want := end.GetCode(), string(fault.OfferLapsed); got != want || end.GetOutcome() != peerpb.Outcome_OUTCOME_NOT_RUN {
-		t.Errorf("late word: got %v, want not run, %q", end, want)
+		t.Errorf("late confirmation: got %v, want not run, %q", end, want)
 	}
-	if got, want := at.most(), 0; got != want {
+	if got, want := at.maxPerSecond(), 0; got != want {
 		t.Errorf("arrivals: got %d, want %d", got, want)
 	}
 }
--- a/egress/leaving.go
+++ b/egress/draining.go
@@ -11,15 +11,15 @@
 	"github.com/lynxplank/lynxplank/header"
 )
 
-// noteLeaving believes an endpoint's own word that it is leaving.
-func (e *Egress) noteLeaving(l *local, leaving bool) {
-	if leaving && l.leaving.CompareAndSwap(false, true) {
+// noteDraining records that the endpoint itself reported, with an answer, that it is draining.
+func (e *Egress) noteDraining(l *localEndpoint, draining bool) {
+	if draining && l.draining.CompareAndSwap(false, true) {
 		events.EndpointLeaving.Log(e.log).Str("endpoint", l.key).Send()
 	}
 }
 
-// watchLeaving asks the endpoints that said they are leaving whether they still are.
-func (e *Egress) watchLeaving(ctx context.Context) {
+// probeDraining regularly asks the endpoints that reported a drain whether they accept requests again.
+func (e *Egress) probeDraining(ctx context.Context) {
 	tick := time.NewTicker(e.cfg.ProbeInterval)
 	defer tick.Stop()
 	for {
@@ -28,27 +28,27 @@
 			return
 		case <-tick.C:
 		}
-		for _, l := range e.leavers() {
-			if e.back(ctx, l) && l.leaving.CompareAndSwap(true, false) {
+		for _, l := range e.drainingEndpoints() {
+			if e.hasResumed(ctx, l) && l.draining.CompareAndSwap(true, false) {
 				events.EndpointBack.Log(e.log).Str("endpoint", l.key).Send()
 			}
 		}
 	}
 }
 
-func (e *Egress) leavers() []*local {
+func (e *Egress) drainingEndpoints() []*localEndpoint {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	var out []*local
-	for _, l := range e.locals {
-		if l.leaving.Load() {
+	var out []*localEndpoint
+	for _, l := range e.endpoints {
+		if l.draining.Load() {
 			out = append(out, l)
 		}
 	}
 	return out
 }
 
-func (e *Egress) back(ctx context.Context, l *local) bool {
+func (e *Egress) hasResumed(ctx context.Context, l *localEndpoint) bool {
 	ctx, cancel := context.WithTimeout(ctx, e.cfg.ProbeInterval)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+*l.address.Load()+e.cfg.ProbePath, nil)
--- a/egress/due.go
+++ b/egress/due.go
@@ -7,42 +7,43 @@
 )
 
 const (
-	// dueShare is the share of ordinary work that ends before its answer counts as due: one request in twenty is sent a
-	// second time for nothing, a quarter of what a retry budget of 20% grants.
-	dueShare = 0.95
-	// leastDueShare is the same where a second answer could not come within the aim otherwise.
-	leastDueShare = 0.8
-	// unknownDue is the part of the aim after which an answer is due while the endpoint's times are not known, as one in so
-	// many; a second answer can then still come in time.
-	unknownDue = 2
+	// dueQuantile is the share of usual requests that are answered before their answers count as due. One request in
+	// twenty is hedged needlessly, a quarter of what a retry budget of 20% allows.
+	dueQuantile = 0.95
+	// minDueQuantile replaces dueQuantile where the answer to a hedge would miss the latency target otherwise.
+	minDueQuantile = 0.8
+	// unknownDueDivisor sets when an answer is due while the endpoint's latencies are not known: after the latency
+	// target divided by it, which leaves a hedge enough time.
+	unknownDueDivisor = 2
 )
 
-// due returns the time within which the answer to a request is due, 0 if nobody asks or it is not known.
+// answerDue returns the time within which the answer to a request is due, 0 if the sender did not ask for it.
 //
-// A second send has to come early enough for its answer to be in time, and no earlier than that or than most answers come.
-func (l *local) due(d *peerpb.Dispatch) time.Duration {
+// A hedge must be sent early enough for its answer to be in time, but not earlier than that, nor before most answers
+// have arrived.
+func (l *localEndpoint) answerDue(d *peerpb.Dispatch) time.Duration {
 	if !d.GetTellDue() {
 		return 0
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	work, aim := workOf(d), aimLeft(d)
-	model := l.times.Of(work.Kind, work.Usual)
+	work, target := workOf(d), latencyTarget(d)
+	model := l.latencies.Of(work.Kind, work.Usual)
 	if !model.Known() {
-		return aim / unknownDue
+		return target / unknownDueDivisor
 	}
-	usual, soon := model.Quantile(dueShare), model.Quantile(leastDueShare)
-	inTime := max(soon, min(usual, aim-soon))
-	return max(inTime, min(aim/unknownDue, aim-2*usual))
+	usual, soon := model.Quantile(dueQuantile), model.Quantile(minDueQuantile)
+	inTime := max(soon, min(usual, target-soon))
+	return max(inTime, min(target/unknownDueDivisor, target-2*usual))
 }
 
-// expectedShare is the share of ordinary work that takes no longer than a request is expected to.
-const expectedShare = 0.7
+// expectedQuantile is the share of usual requests that take no longer than the expected duration.
+const expectedQuantile = 0.7
 
-// expected is how long a request's work is expected to take, 0 if that is not known.
-func (l *local) expected(d *peerpb.Dispatch) time.Duration {
+// expectedDuration is how long a request is expected to take, 0 if that is not known.
+func (l *localEndpoint) expectedDuration(d *peerpb.Dispatch) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	work := workOf(d)
-	return l.times.Of(work.Kind, work.Usual).Quantile(expectedShare)
+	return l.latencies.Of(work.Kind, work.Usual).Quantile(expectedQuantile)
 }
--- a/egress/egress.go
+++ b/egress/egress.go
@@ -27,65 +27,67 @@
 	"github.com/lynxplank/lynxplank/upstream"
 )
 
-// Config is the egress's section of the settings.
+// Config is the configuration of the egress.
 type Config struct {
-	// Host is this node's host, Hall its hall.
+	// Host is this node's host, Hall that host's hall.
 	Host, Hall string
-	// Incarnation tells this process from earlier ones.
+	// Incarnation distinguishes this process from earlier ones of the same node.
 	Incarnation uint64
-	// ProbePath is asked of an endpoint that said it is leaving.
+	// ProbePath is the path of the probe of an endpoint that reported a drain.
 	ProbePath string
-	// ProbeEvery is the time between these questions.
+	// ProbeInterval is the time between these probes.
 	ProbeInterval time.Duration
 	// KeyWindow is how long idempotency keys are remembered.
 	KeyWindow time.Duration
-	// KeySettle is how long a change of the endpoints may take to be in force everywhere, for keys and for the parts of the
-	// retries alike.
+	// ConvergenceTime is how long a change of the endpoints may take to become active on every node. It applies to
+	// the owners of keys and to the shares of the retry budget alike.
 	ConvergenceTime time.Duration
-	// KeyBytes bounds the memory for keys, in bytes.
+	// KeyBytes bounds the memory for idempotency keys, in bytes.
 	KeyBytes int
-	// Contract says how endpoints are spoken to; nil stands for the product's own.
+	// Contract is the set of header fields exchanged with endpoints; nil means the product's own.
 	Contract contract.Contract
-	// Breaker is the policy for endpoints that break off their work.
+	// Breaker is the policy of the endpoints' circuit breakers.
 	Breaker breaker.Config
-	// Retries is the slack of retries that the fleet's endpoints share.
+	// Retries is the retry slack that the endpoints of the fleet share.
 	Retries retry.Share
-	// Cold is by how much a second of a cold endpoint may go beyond what its service says that it bears; its Rate is not used.
+	// ColdLimit is how far the requests sent to a cold endpoint in one second may exceed the rate that its service
+	// sets for cold endpoints. Its Rate is not used.
 	ColdLimit coldstart.Bound
 }
 
-// Egress serves the endpoints beside this node; it is a kernel component.
+// Egress runs requests at the endpoints beside this node; it is a kernel component.
 type Egress struct {
-	cfg     Config
-	log     *zerolog.Logger
-	state   func() *table.State
-	keys    *keys
-	records *records
-	configs seenConfig
-	pool    *upstream.Pool
-	// announced are the endpoints that announce themselves beside this node.
+	cfg           Config
+	log           *zerolog.Logger
+	state         func() *table.State
+	keys          *keyStore
+	answers       *answerStore
+	seenRevisions seenRevisions
+	pool          *upstream.Pool
+	// announced holds the endpoints that announce themselves to this node, nil if there is no such registry.
 	announced *registry.Registry
-	endings   CrashTracker
+	crashes   CrashTracker
 	clock     clock.Clock
-	// budget is what this node may hold of answers whose callers read slowly, or may ask again.
+	// budget bounds the memory for answers that their callers read slowly or may fetch over another link.
 	budget *memory.Budget
-	// evacuated is set while this node knows its hall to be, hallDoubt is when it last was, by clock; nil for never.
-	evacuated atomic.Bool
-	hallDoubt atomic.Pointer[time.Time]
-	// region is that of this node's hall, nil before the first snapshot.
+	// evacuated is set while this node knows its hall to be evacuated; hallEvacuatedAt is when that was last so, by
+	// clock, nil for never.
+	evacuated       atomic.Bool
+	hallEvacuatedAt atomic.Pointer[time.Time]
+	// region is the region of this node's hall, nil before the first snapshot.
 	region  atomic.Pointer[string]
 	nextID  atomic.Uint64
 	closing atomic.Bool
-	// closed ends with Close.
-	closed context.Context //nolint:containedctx // the door's life
-	shut   context.CancelFunc
-	// working is the work under way.
-	working inflight.Requests
-	flight  inflight.Counter
-	cancel  context.CancelFunc
-
-	mu     sync.Mutex
-	locals map[string]*local
+	// closeCtx is canceled by Close.
+	closeCtx       context.Context //nolint:containedctx // lives as long as the egress
+	cancelCloseCtx context.CancelFunc
+	// running are the requests in flight at the endpoints; inFlight counts the calls of Serve and the crash checks.
+	running      inflight.Requests
+	inFlight     inflight.Counter
+	cancelProbes context.CancelFunc
+
+	mu        sync.Mutex
+	endpoints map[string]*localEndpoint
 }
 
 const (
@@ -93,47 +95,48 @@
 	shortRetryAfter = 100 * time.Millisecond
 )
 
-// Endings gathers what is known of requests under which endpoints ended.
+// CrashTracker collects which requests were running when endpoints crashed.
 type CrashTracker interface {
-	// Ends returns how many endpoints ended under a content.
+	// Ends returns how many endpoints crashed while running requests with a fingerprint.
 	Ends(c poison.Content) int
-	// Ran notes that an endpoint ran a content to a good end.
+	// Ran records that an endpoint ran a request with this fingerprint successfully.
 	Ran(c poison.Content)
-	// EndedHere takes it that an endpoint ended while it ran some contents.
+	// EndedHere records that an endpoint crashed while it ran requests with these fingerprints.
 	EndedHere(endpoint, service string, contents []poison.Content)
 }
 
-// noEndings gathers nothing.
-type noEndings struct{}
+// noCrashTracker tracks nothing.
+type noCrashTracker struct{}
 
-// Ends implements Endings.
-func (noEndings) Ends(poison.Content) int { return 0 }
+// Ends implements CrashTracker.
+func (noCrashTracker) Ends(poison.Content) int { return 0 }
 
-// Ran implements Endings.
-func (noEndings) Ran(poison.Content) {}
+// Ran implements CrashTracker.
+func (noCrashTracker) Ran(poison.Content) {}
 
-// EndedHere implements Endings.
-func (noEndings) EndedHere(string, string, []poison.Content) {}
+// EndedHere implements CrashTracker.
+func (noCrashTracker) EndedHere(string, string, []poison.Content) {}
 
-// WithEndings has the egress tell of endpoints that end, and refuse requests that end them.
-func WithCrashTracker(g CrashTracker) Option { return func(e *Egress) { e.endings = g } }
+// WithCrashTracker has the egress report crashes of endpoints to t and refuse the requests that t knows to cause
+// them.
+func WithCrashTracker(t CrashTracker) Option { return func(e *Egress) { e.crashes = t } }
 
-// WithClock replaces the clock that counts the time in which the host is suspended.
+// WithClock replaces the clock, which also counts the time in which the host is suspended.
 func WithClock(c clock.Clock) Option { return func(e *Egress) { e.clock = c } }
 
-// WithBudget has what is held of answers counted in b.
+// WithBudget has the memory for buffered and stored answers counted in b.
 func WithBudget(b *memory.Budget) Option { return func(e *Egress) { e.budget = b } }
 
-// defaultBudget is the budget of an egress that is given none, in bytes.
+// defaultBudget is the memory budget of an egress without WithBudget, in bytes.
 const defaultBudget = 64 << 20
 
 // Option changes an egress under construction.
 type Option func(*Egress)
 
-// WithRegistry has the egress serve the endpoints that announce themselves to r, besides those of the table.
+// WithRegistry has the egress serve the endpoints that announce themselves to r, in addition to those of the table.
 func WithRegistry(r *registry.Registry) Option { return func(e *Egress) { e.announced = r } }
 
-// New returns an egress that reads the configuration from state.
+// New returns an egress that reads the active configuration from state.
 func New(cfg Config, log *zerolog.Logger, state func() *table.State, opts ...Option) *Egress {
 	if cfg.Contract == nil {
 		cfg.Contract = contract.Own{}
@@ -143,50 +146,50 @@
 	}
 	e := &Egress{
 		cfg: cfg, log: log, state: state,
-		keys:   newKeys(dedupe.NewHome(cfg.KeyWindow, cfg.KeyBytes), cfg.KeyWindow, cfg.ConvergenceTime),
-		locals: make(map[string]*local), records: newRecords(), pool: upstream.NewPool(), endings: noEndings{}, clock: clock.Boot,
+		keys:      newKeyStore(dedupe.NewHome(cfg.KeyWindow, cfg.KeyBytes), cfg.KeyWindow, cfg.ConvergenceTime),
+		endpoints: make(map[string]*localEndpoint), answers: newAnswerStore(), pool: upstream.NewPool(), crashes: noCrashTracker{}, clock: clock.Boot,
 		budget: memory.New(defaultBudget),
 	}
-	e.closed, e.shut = context.WithCancel(context.Background())
+	e.closeCtx, e.cancelCloseCtx = context.WithCancel(context.Background())
 	for _, opt := range opts {
 		opt(e)
 	}
 	return e
 }
 
-// Start begins to watch the endpoints that say they are leaving.
+// Start starts the probes of the endpoints that reported a drain.
 func (e *Egress) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
-	e.cancel = cancel
-	go e.watchLeaving(ctx)
+	e.cancelProbes = cancel
+	go e.probeDraining(ctx)
 	return nil
 }
 
-// Close takes nothing new from now on, and turns away what waits for a slot: other endpoints may have one.
+// Close refuses all requests from now on, also those that wait for a slot, so that other endpoints can take them.
 func (e *Egress) Close() {
 	e.closing.Store(true)
-	e.shut()
+	e.cancelCloseCtx()
 }
 
-// Stop waits for the requests in flight as long as ctx allows.
+// Stop waits for the requests in flight until ctx ends.
 func (e *Egress) Stop(ctx context.Context) error {
 	e.Close()
-	defer e.cancel()
+	defer e.cancelProbes()
 	defer e.pool.CloseIdle()
-	return e.flight.Wait(ctx, "egress")
+	return e.inFlight.Wait(ctx, "egress")
 }
 
-// Observe takes a new snapshot in force: it tells the keys' homes which endpoints share them, and the endpoints beside this
-// node what their part of the retries is. These count from when the endpoint is in the table, not from its first request.
+// Observe applies a new snapshot: it records the owners of keys and updates the endpoints beside this node. Their
+// shares of the retry budget count from the moment they are in the table, not from their first request.
 func (e *Egress) Observe(now time.Time, snap *configsync.Snapshot) {
 	e.keys.observe(now, snap, e.cfg.Host)
 	e.observeHall(snap.State)
-	where := snap.RegionOf(e.cfg.Hall)
-	e.region.Store(&where)
+	hallRegion := snap.RegionOf(e.cfg.Hall)
+	e.region.Store(&hallRegion)
 	snap.State.Services(func(v table.ServiceView) {
 		for _, row := range v.Endpoints {
 			if row.Value.Host == e.cfg.Host {
-				e.local(row, snap.State)
+				e.localEndpoint(row, snap.State)
 			}
 		}
 	})
@@ -194,48 +197,49 @@
 
 // Serve runs one request at the endpoint and returns how it ended.
 //
-// Invariant: it returns NOT_RUN only if the request's bytes were not handed to a connection of the endpoint, or the
+// Invariant: it returns NOT_RUN only if no byte of the request was handed to a connection of the endpoint, or the
 // endpoint itself marked its answer as not run.
 func (e *Egress) Serve(ctx context.Context, d *peerpb.Dispatch, body io.Reader, sink peer.Sink) *peerpb.End {
-	e.flight.Add()
-	defer e.flight.Done()
+	e.inFlight.Add()
+	defer e.inFlight.Done()
 	end := e.serve(ctx, d, body, sink)
 	end.Revision = e.state().Revision()
 	return end
 }
 
-// serve runs a request; a keyed one only after its claim was granted here.
+// serve runs a request. If it has an idempotency key with a claim, the claim must be granted here first.
 func (e *Egress) serve(ctx context.Context, d *peerpb.Dispatch, body io.Reader, sink peer.Sink) *peerpb.End {
 	if d.GetClaim() == nil {
 		return e.admitAndRun(ctx, d, body, sink)
 	}
 	if e.closing.Load() {
-		// Nothing is said about the key: its record leaves with this process.
+		// The key gets no verdict: its record is lost when this process stops.
 		return peer.NotRun(fault.KeyRefused, drainRetryAfter)
 	}
-	if !e.here(d) {
+	if !e.isLocal(d) {
 		return peer.NotRun(fault.WrongHost, shortRetryAfter)
 	}
-	if !e.mayBeHere(d) {
+	if !e.dataAllowedHere(d) {
 		return peer.NotRun(fault.OutOfRegion, shortRetryAfter)
 	}
-	verdict, answer := e.keys.claim(time.Now(), d, e.regionsOf(d))
+	verdict, answer := e.keys.claim(time.Now(), d, e.allowedRegions(d))
 	if verdict != dedupe.Grant {
 		return verdictEnd(verdict, answer, sink)
 	}
 	if d.GetClaim().GetClaimOnly() {
 		return &peerpb.End{Outcome: peerpb.Outcome_OUTCOME_CLAIMED}
 	}
-	keep := &keepingSink{Sink: sink}
-	end := e.admitAndRun(ctx, d, body, keep)
-	e.keys.settle(time.Now(), d.GetClaim().GetScope(), d.GetClaim().GetKey(), end.GetOutcome(), keep.answer(end))
+	recorder := &replaySink{Sink: sink}
+	end := e.admitAndRun(ctx, d, body, recorder)
+	e.keys.settle(time.Now(), d.GetClaim().GetScope(), d.GetClaim().GetKey(), end.GetOutcome(), recorder.answer(end))
 	return end
 }
 
-// Work tells of the work that the endpoints beside this node have through it, and of that for a request, "" for none.
-func (e *Egress) Work(request string) inflight.Work { return e.working.Of(request) }
+// Work returns the requests in flight at the endpoints beside this node, and those of them for one request, "" for
+// none.
+func (e *Egress) Work(request string) inflight.Work { return e.running.Of(request) }
 
-// Settle notes how a claimed request ended elsewhere.
+// Settle records how a request whose key was claimed here ended at another endpoint.
 func (e *Egress) Settle(msg *peerpb.Settle) {
 	a := dedupe.Answer{Head: msg.GetHead(), Body: msg.GetBody(), Kept: msg.GetHead() != nil}
 	e.keys.settle(time.Now(), msg.GetScope(), msg.GetKey(), msg.GetOutcome(), a)
--- a/egress/evacuated_test.go
+++ b/egress/evacuated_test.go
@@ -12,7 +12,7 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// withHall returns a state in which operators say something of hall-1.
+// withHall returns a state in which the operators' rows have hall-1.
 func withHall(t *testing.T, s *table.State, h table.Hall) *table.State {
 	t.Helper()
 	to := s.Revision() + 1
@@ -24,9 +24,10 @@
 	return next
 }
 
-// TestEvacuatedDoor has the hall of an endpoint evacuated and taken back while it runs one request and another waits for its slot: the
-// first ends in peace, the other is told as not run, later ones are refused until the hall is taken back, whatever their sender believes.
-func TestEvacuatedDoor(t *testing.T) {
+// TestEvacuatedHallIsRefused evacuates the endpoint's hall and later ends the evacuation, while one request runs at
+// the endpoint and another waits for its slot. The running one completes, the waiting one is reported as not run, and
+// later ones are refused until the evacuation ends, whatever their sender's view is.
+func TestEvacuatedHallIsRefused(t *testing.T) {
 	var began atomic.Int64
 	running, finish := make(chan struct{}), make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -37,16 +38,16 @@
 		w.WriteHeader(http.StatusOK)
 	}))
 	t.Cleanup(server.Close)
-	e := at(t, strings.TrimPrefix(server.URL, "http://"), table.Active)
+	e := newTestEgress(t, strings.TrimPrefix(server.URL, "http://"), table.Active)
 	var state atomic.Pointer[table.State]
-	state.Store(oneSlot(t, e.state()))
+	state.Store(withOneSlot(t, e.state()))
 	e.state = state.Load
 	first, second := make(chan *peerpb.End, 1), make(chan *peerpb.End, 1)
 	go func() { first <- serve(t, e, payment()) }()
 	<-running
-	go func() { second <- serve(t, e, waiting(payment())) }()
-	l := e.local(mustEndpoint(t, e.state()), e.state())
-	for l.load(0, 0).GetQueued() == 0 {
+	go func() { second <- serve(t, e, waitingOffer(payment())) }()
+	l := e.localEndpoint(mustEndpoint(t, e.state()), e.state())
+	for l.loadReport(0, 0).GetQueued() == 0 {
 		continue
 	}
 	state.Store(withHall(t, e.state(), table.Hall{Evacuated: true}))
@@ -55,7 +56,7 @@
 	}
 	close(finish)
 	if end := <-first; end.GetOutcome() != peerpb.Outcome_OUTCOME_RAN || !end.GetComplete() {
-		t.Errorf("running request: got %v, want its whole answer", end)
+		t.Errorf("running request: got %v, want a complete answer", end)
 	}
 	end := <-second
 	if got, want := end.GetCode(), string(fault.Evacuated); got != want || end.GetOutcome() != peerpb.Outcome_OUTCOME_NOT_RUN {
@@ -66,13 +67,14 @@
 	}
 	state.Store(withHall(t, e.state(), table.Hall{}))
 	if end := serve(t, e, payment()); end.GetOutcome() != peerpb.Outcome_OUTCOME_RAN {
-		t.Errorf("after the hall was taken back: got %v, want it to run", end)
+		t.Errorf("after the evacuation: got %v, want it to run", end)
 	}
 }
 
-// TestEvacuatedHomeKeepsItsKeys checks that a key's home in an evacuated hall still grants it, for its request to run elsewhere.
-func TestEvacuatedHomeKeepsItsKeys(t *testing.T) {
-	e := at(t, "127.0.0.1:1", table.Active)
+// TestEvacuatedOwnerStillGrantsKeys checks that a key's owner in an evacuated hall still grants the key, so that its
+// request can run elsewhere.
+func TestEvacuatedOwnerStillGrantsKeys(t *testing.T) {
+	e := newTestEgress(t, "127.0.0.1:1", table.Active)
 	s := withHall(t, e.state(), table.Hall{Evacuated: true})
 	e.state = func() *table.State { return s }
 	d := payment()
@@ -83,12 +85,12 @@
 	d = payment()
 	d.Claim = &peerpb.Claim{Scope: "s", Key: "k2", Attempt: 1, Vouched: true}
 	if got, want := serve(t, e, d).GetCode(), string(fault.Evacuated); got != want {
-		t.Errorf("run at the home: got %q, want %q", got, want)
+		t.Errorf("run at the owner: got %q, want %q", got, want)
 	}
 }
 
-// oneSlot returns a state in which the endpoint runs one request at a time.
-func oneSlot(t *testing.T, s *table.State) *table.State {
+// withOneSlot returns a state in which the endpoint runs one request at a time.
+func withOneSlot(t *testing.T, s *table.State) *table.State {
 	t.Helper()
 	row := mustEndpoint(t, s)
 	row.Value.Slots = 1
@@ -111,7 +113,7 @@
 	return row
 }
 
-func waiting(d *peerpb.Dispatch) *peerpb.Dispatch {
+func waitingOffer(d *peerpb.Dispatch) *peerpb.Dispatch {
 	d.Exchange, d.Wait = 1, true
 	return d
 }
--- a/egress/find.go
+++ b/egress/find.go
@@ -12,75 +12,76 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// find returns the endpoint's runtime, or the refusal when it takes nothing new here.
+// find returns the endpoint's runtime, or the refusal if the request may not run there.
 //
-// Invariant: a draining endpoint is refused here whatever the ingress believes.
-func (e *Egress) find(d *peerpb.Dispatch) (*local, *peerpb.End) {
+// Invariant: a draining endpoint is refused here whatever the ingress's view of it is.
+func (e *Egress) find(d *peerpb.Dispatch) (*localEndpoint, *peerpb.End) {
 	if e.closing.Load() {
 		return nil, peer.NotRun(fault.Draining, drainRetryAfter)
 	}
-	// Whoever sent it may not have heard yet.
-	if e.endings.Ends(contentOf(d)) >= poison.BarAfter {
+	// The sender may not know yet that the request is blocked.
+	if e.crashes.Ends(fingerprintOf(d)) >= poison.BarAfter {
 		return nil, peer.NotRun(fault.FatalRequest, 0)
 	}
-	if e.configs.stale(e.state(), d) {
+	if e.seenRevisions.stale(e.state(), d) {
 		return nil, peer.NotRun(fault.Stale, shortRetryAfter)
 	}
-	if !e.mayBeHere(d) {
+	if !e.dataAllowedHere(d) {
 		return nil, peer.NotRun(fault.OutOfRegion, shortRetryAfter)
 	}
-	if r, ok := e.announcedHere(d); ok {
+	if r, ok := e.announcedEndpoint(d); ok {
 		if r.Leaving {
 			return nil, peer.NotRun(fault.Draining, drainRetryAfter)
 		}
-		return e.open(r.Entry, r.Leaving)
+		return e.checkOpen(r.Entry, r.Leaving)
 	}
-	if !e.here(d) {
-		return nil, e.notHere(d)
+	if !e.isLocal(d) {
+		return nil, e.wrongHost(d)
 	}
 	row, _ := e.state().Endpoint(d.GetEndpoint())
-	return e.open(row, row.Value.Phase != table.Active)
+	return e.checkOpen(row, row.Value.Phase != table.Active)
 }
 
-// regionsOf returns the regions in which a request's data may be, as far as this node knows.
-func (e *Egress) regionsOf(d *peerpb.Dispatch) region.Set {
+// allowedRegions returns the regions in which a request's data may be, by this node's configuration.
+func (e *Egress) allowedRegions(d *peerpb.Dispatch) region.Set {
 	s := e.state()
 	r, _ := s.Route(d.GetRoute())
 	return s.RegionsFor(r.Value, d.GetCustomer())
 }
 
-// mayBeHere tells whether a request's data may be in this node's region.
+// dataAllowedHere reports whether a request's data may be in this node's region.
 //
-// Invariant: whatever its sender believes, the body of a request is asked for, and handed to an endpoint, only where its data may be.
-func (e *Egress) mayBeHere(d *peerpb.Dispatch) bool {
-	regions := e.regionsOf(d)
+// Invariant: whatever the sender's view is, the body of a request is read, and dispatched to an endpoint, only where
+// its data may be.
+func (e *Egress) dataAllowedHere(d *peerpb.Dispatch) bool {
+	regions := e.allowedRegions(d)
 	if !regions.Bound() {
 		return true
 	}
-	where := e.region.Load()
-	return where != nil && regions.Allows(*where)
+	hallRegion := e.region.Load()
+	return hallRegion != nil && regions.Allows(*hallRegion)
 }
 
-// open returns the runtime of an endpoint beside this node unless it takes nothing new.
+// checkOpen returns the runtime of an endpoint beside this node, or the refusal if it accepts no new requests.
 //
-// Invariant: an endpoint of an evacuated hall is refused here whatever the ingress believes.
-func (e *Egress) open(row table.Entry[table.Endpoint], closed bool) (*local, *peerpb.End) {
+// Invariant: an endpoint of an evacuated hall is refused here whatever the ingress's view of it is.
+func (e *Egress) checkOpen(row table.Entry[table.Endpoint], draining bool) (*localEndpoint, *peerpb.End) {
 	s := e.state()
 	if s.Evacuated(row.Value.Hall) {
 		return nil, peer.NotRun(fault.Evacuated, drainRetryAfter)
 	}
-	if closed || s.HostPhase(e.cfg.Host) != table.Active {
+	if draining || s.HostPhase(e.cfg.Host) != table.Active {
 		return nil, peer.NotRun(fault.Draining, drainRetryAfter)
 	}
-	l := e.local(row, s)
-	if l.leaving.Load() {
+	l := e.localEndpoint(row, s)
+	if l.draining.Load() {
 		return nil, peer.NotRun(fault.Draining, drainRetryAfter)
 	}
 	return l, nil
 }
 
-// announcedHere returns the endpoint if it has announced itself to this node.
-func (e *Egress) announcedHere(d *peerpb.Dispatch) (registry.Endpoint, bool) {
+// announcedEndpoint returns the request's endpoint if it has announced itself to this node.
+func (e *Egress) announcedEndpoint(d *peerpb.Dispatch) (registry.Endpoint, bool) {
 	if e.announced == nil {
 		return registry.Endpoint{}, false
 	}
@@ -88,16 +89,18 @@
 	return r, ok && r.Value.Service == d.GetService()
 }
 
-// here tells whether the table has the endpoint beside this node, and of this service. An endpoint that announces
-// itself and that this life of the node has not heard of is not here: whatever the store shows of it may be old.
-func (e *Egress) here(d *peerpb.Dispatch) bool {
+// isLocal reports whether the table places the endpoint beside this node and in the request's service. An endpoint
+// that announces itself does not count: until it has announced itself to this process, its row in the store may be
+// outdated.
+func (e *Egress) isLocal(d *peerpb.Dispatch) bool {
 	row, ok := e.state().Endpoint(d.GetEndpoint())
 	return ok && row.Plane != table.PlaneHosts && row.Value.Host == e.cfg.Host && row.Value.Service == d.GetService()
 }
 
-// notHere refuses a request for an endpoint that is not here, and names the one of its service that is: one that was started anew
-// beside this node has another name, which the store may not know for seconds after a whole fleet has lost power.
-func (e *Egress) notHere(d *peerpb.Dispatch) *peerpb.End {
+// wrongHost returns the refusal for an endpoint that is not beside this node, and names the endpoint of its service
+// that is. A restarted endpoint has a new name, which the store may not show for seconds after a whole fleet has lost
+// power.
+func (e *Egress) wrongHost(d *peerpb.Dispatch) *peerpb.End {
 	end := peer.NotRun(fault.WrongHost, shortRetryAfter)
 	if e.announced != nil {
 		if r, ok := e.announced.Of(d.GetService()); ok {
@@ -107,18 +110,18 @@
 	return end
 }
 
-// local returns the endpoint's runtime as the table wants it, a new one for an endpoint that had no work yet.
-func (e *Egress) local(row table.Entry[table.Endpoint], s *table.State) *local {
+// localEndpoint returns the endpoint's runtime, configured from the table; it creates it on first use.
+func (e *Egress) localEndpoint(row table.Entry[table.Endpoint], s *table.State) *localEndpoint {
 	view, _ := s.Service(row.Value.Service)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	l := e.locals[row.Key]
+	l := e.endpoints[row.Key]
 	if l == nil {
-		l = newLocal(row, e.cfg, e.clock, e.pool, rand.New(rand.NewPCG(e.cfg.Incarnation, uint64(len(e.locals))))) //nolint:gosec // no secret
-		if at := e.hallDoubt.Load(); at != nil {
-			l.cold.Doubt(*at)
+		l = newLocalEndpoint(row, e.cfg, e.clock, e.pool, rand.New(rand.NewPCG(e.cfg.Incarnation, uint64(len(e.endpoints))))) //nolint:gosec // no secret
+		if at := e.hallEvacuatedAt.Load(); at != nil {
+			l.coldLimiter.Doubt(*at)
 		}
-		e.locals[row.Key] = l
+		e.endpoints[row.Key] = l
 	}
 	l.configure(row, view, e.cfg)
 	return l
--- a/egress/silence_test.go
+++ b/egress/hang_test.go
@@ -16,9 +16,9 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// dueSink notes when it is told that an answer is due by now.
+// dueSink records when it is told that an answer is overdue.
 type dueSink struct {
-	discard
+	discardSink
 	once sync.Once
 	due  chan struct{}
 }
@@ -36,14 +36,15 @@
 	}
 }
 
-// TestSilentWorkIsTold checks that an endpoint which stops answering is suspected while its work is under way, that whoever
-// waits for repeatable work there hears it, and that nothing that must not repeat is handed over any more.
-func TestSilentWorkIsTold(t *testing.T) {
+// TestSilentRequestsAreReportedDue checks that the breaker of an endpoint that stops answering opens while its
+// requests are in flight, that the senders of repeatable ones among them are told, and that no further non-repeatable
+// request is dispatched.
+func TestSilentRequestsAreReportedDue(t *testing.T) {
 	release := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-release }))
 	t.Cleanup(server.Close)
 	t.Cleanup(func() { close(release) })
-	e := at(t, strings.TrimPrefix(server.URL, "http://"), table.Active)
+	e := newTestEgress(t, strings.TrimPrefix(server.URL, "http://"), table.Active)
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
 	sinks := []*dueSink{{due: make(chan struct{})}, {due: make(chan struct{})}, {due: make(chan struct{})}}
@@ -54,10 +55,10 @@
 		select {
 		case <-s.due:
 		case <-time.After(10 * time.Second):
-			t.Fatalf("request %d: got no word, want to hear that its answer is due", i)
+			t.Fatalf("request %d: got no report, want one that its answer is overdue", i)
 		}
 	}
-	if got, want := e.locals["e1"].breakerState(), breaker.Trial; got != want {
+	if got, want := e.endpoints["e1"].breakerState(), breaker.Trial; got != want {
 		t.Errorf("breaker: got %v, want %v", got, want)
 	}
 	if got, want := serve(t, e, payment()).GetCode(), string(fault.Suspect); got != want {
@@ -65,21 +66,21 @@
 	}
 }
 
-// TestRetriesAreGrantedAtTheDoor checks that a further send takes from the endpoint's part of the budget, and a first one
-// does not.
-func TestRetriesAreGrantedAtTheDoor(t *testing.T) {
+// TestRetriesAreLimitedAtTheEndpoint checks that a retry is charged to the endpoint's share of the retry budget, and
+// a first send is not.
+func TestRetriesAreLimitedAtTheEndpoint(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	t.Cleanup(server.Close)
-	e := at(t, strings.TrimPrefix(server.URL, "http://"), table.Active)
+	e := newTestEgress(t, strings.TrimPrefix(server.URL, "http://"), table.Active)
 	e.cfg.Retries = retry.Share{Slack: 4, Window: time.Nanosecond, Most: 4}
-	again := lookup()
-	again.Repeat = true
-	if got, want := serve(t, e, again).GetOutcome(), peerpb.Outcome_OUTCOME_RAN; got != want {
-		t.Errorf("further send within the budget: got %v, want %v", got, want)
+	retried := lookup()
+	retried.Repeat = true
+	if got, want := serve(t, e, retried).GetOutcome(), peerpb.Outcome_OUTCOME_RAN; got != want {
+		t.Errorf("retry within the budget: got %v, want %v", got, want)
 	}
 	e.cfg.Retries.Slack = 0
-	if got, want := serve(t, e, again).GetCode(), string(fault.RetryBudget); got != want {
-		t.Errorf("further send without a budget: got %q, want %q", got, want)
+	if got, want := serve(t, e, retried).GetCode(), string(fault.RetryBudget); got != want {
+		t.Errorf("retry without a budget: got %q, want %q", got, want)
 	}
 	if got, want := serve(t, e, lookup()).GetOutcome(), peerpb.Outcome_OUTCOME_RAN; got != want {
 		t.Errorf("first send: got %v, want %v", got, want)
--- a/egress/keys.go
+++ b/egress/keys.go
@@ -16,153 +16,157 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// keys guards the node's dedupe.Home and knows since when it is the home of a key.
-type keys struct {
-	mu     sync.Mutex
-	home   *dedupe.Home
-	window time.Duration
-	// slack is how long an ingress may act on an older list of endpoints.
-	slack time.Duration
-	// lists are, for each service with an endpoint here, the lists of endpoints in force of late, oldest first. What
-	// was in force before this process first saw the service is not known.
-	lists map[string][]keyList
-	// ready is set once the node has held a configuration in force, and so knows which services there were.
+// keyStore guards the node's key records and knows since when the endpoints beside this node have owned a key.
+type keyStore struct {
+	mu      sync.Mutex
+	records *dedupe.Home
+	window  time.Duration
+	// convergence is how long an ingress may act on an older list of endpoints.
+	convergence time.Duration
+	// endpointLists has, for each service with an endpoint here, the recently active lists of endpoints, oldest
+	// first. Lists from before this process first saw the service are not known.
+	endpointLists map[string][]endpointList
+	// ready is set once the node has had an active configuration, and so knows which services there were.
 	ready bool
-	// seen are the revisions in force at the last look, bounds the fingerprint of where data may be.
-	seen   table.Revisions
-	bounds uint64
+	// revisions are those of the last snapshot observed, regionBounds is a fingerprint of where data may be.
+	revisions    table.Revisions
+	regionBounds uint64
 }
 
-// keyList is the endpoints that may be homes from a time on, with the regions in which they stand.
-type keyList struct {
-	from      time.Time
+// endpointList holds the endpoints that are eligible as owners of keys from a time on, with the regions they are in.
+type endpointList struct {
+	since     time.Time
 	endpoints []string
 	regions   map[string]string
 }
 
-// within returns the endpoints in regions where a key's data may be.
-func (l keyList) within(regions region.Set) []string {
+// allowedIn returns the endpoints in the regions where a key's data may be.
+func (l endpointList) allowedIn(regions region.Set) []string {
 	if !regions.Bound() {
 		return l.endpoints
 	}
 	return slices.DeleteFunc(slices.Clone(l.endpoints), func(name string) bool { return !regions.Allows(l.regions[name]) })
 }
 
-func newKeys(home *dedupe.Home, window, slack time.Duration) *keys {
-	return &keys{home: home, window: window, slack: slack, lists: make(map[string][]keyList)}
+func newKeyStore(records *dedupe.Home, window, convergence time.Duration) *keyStore {
+	return &keyStore{records: records, window: window, convergence: convergence, endpointLists: make(map[string][]endpointList)}
 }
 
-// observe notes the lists of endpoints that a snapshot puts in force.
-func (k *keys) observe(now time.Time, snap *configsync.Snapshot, host string) {
+// observe records the lists of endpoints of a new snapshot.
+func (k *keyStore) observe(now time.Time, snap *configsync.Snapshot, host string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.noteBounds(snap.State)
+	k.resetOnRegionChange(snap.State)
 	snap.State.Services(func(v table.ServiceView) {
-		here := slices.ContainsFunc(v.Endpoints, func(e table.Entry[table.Endpoint]) bool { return e.Value.Host == host })
-		if !here && k.lists[v.Key] == nil {
+		isLocal := slices.ContainsFunc(v.Endpoints, func(e table.Entry[table.Endpoint]) bool { return e.Value.Host == host })
+		if !isLocal && k.endpointLists[v.Key] == nil {
 			return
 		}
 		from := now
-		if k.lists[v.Key] == nil && k.ready && unchangedSinceMade(v) {
-			// The service is new: nothing can have run before its first list, which is this one.
+		if k.endpointLists[v.Key] == nil && k.ready && unchangedSinceCreation(v) {
+			// The service is new: no request can have run before its first list, which is this one.
 			from = time.Time{}
 		}
-		list := keyList{from: from, regions: make(map[string]string, len(v.Endpoints))}
+		list := endpointList{since: from, regions: make(map[string]string, len(v.Endpoints))}
 		list.endpoints = keyowner.Names(v, func(e table.Endpoint) bool { return snap.Listed(e.Host) })
 		for _, e := range v.Endpoints {
 			list.regions[e.Key] = snap.RegionOf(e.Value.Hall)
 		}
-		k.noteList(list, v.Key)
+		k.addList(list, v.Key)
 	})
 	k.ready = snap.Ready
 }
 
-// noteBounds forgets since when this node is a home once other regions are bound to some data: a key may have had other homes before.
-func (k *keys) noteBounds(s *table.State) {
-	if k.seen == s.Revisions() {
+// resetOnRegionChange forgets since when this node owns keys if the region restrictions have changed: a key may have
+// had other owners before.
+func (k *keyStore) resetOnRegionChange(s *table.State) {
+	if k.revisions == s.Revisions() {
 		return
 	}
-	k.seen = s.Revisions()
+	k.revisions = s.Revisions()
 	bounds := s.RegionBounds()
-	if bounds != k.bounds && k.ready {
-		clear(k.lists)
+	if bounds != k.regionBounds && k.ready {
+		clear(k.endpointLists)
 		k.ready = false
 	}
-	k.bounds = bounds
+	k.regionBounds = bounds
 }
 
-// unchangedSinceMade tells whether the service and all its endpoints still stand as one change made them.
-func unchangedSinceMade(v table.ServiceView) bool {
+// unchangedSinceCreation reports whether the service and all its endpoints are still as one single change created
+// them.
+func unchangedSinceCreation(v table.ServiceView) bool {
 	return !slices.ContainsFunc(v.Endpoints, func(e table.Entry[table.Endpoint]) bool { return e.Revision != v.Revision })
 }
 
-func (k *keys) noteList(list keyList, service string) {
-	lists := k.lists[service]
+func (k *keyStore) addList(list endpointList, service string) {
+	lists := k.endpointLists[service]
 	if n := len(lists); n > 0 && slices.Equal(lists[n-1].endpoints, list.endpoints) && maps.Equal(lists[n-1].regions, list.regions) {
 		return
 	}
-	now := list.from
+	now := list.since
 	lists = append(lists, list)
-	for len(lists) > 1 && now.Sub(lists[1].from) > k.window+k.slack {
+	for len(lists) > 1 && now.Sub(lists[1].since) > k.window+k.convergence {
 		lists = lists[1:]
 	}
-	k.lists[service] = lists
+	k.endpointLists[service] = lists
 }
 
-// homeSince tells whether every list in force from a time on is known and fits.
-func (k *keys) homeSince(from time.Time, service string, fits func(l keyList) bool) bool {
-	for _, l := range slices.Backward(k.lists[service]) {
+// ownerSince reports whether every list that was active since a time is known and satisfies fits.
+func (k *keyStore) ownerSince(from time.Time, service string, fits func(l endpointList) bool) bool {
+	for _, l := range slices.Backward(k.endpointLists[service]) {
 		if !fits(l) {
 			return false
 		}
-		if !l.from.After(from) {
+		if !l.since.After(from) {
 			return true
 		}
 	}
 	return false
 }
 
-// claim decides about a key, whose data may be in some regions by this node's state.
+// claim decides on a key whose data may be in some regions, by this node's configuration.
 //
-// Invariant: a request without a record runs only where a home that any list of the window named, and that remembers
-// the whole window, was asked; for a re-send, both of them.
-func (k *keys) claim(now time.Time, d *peerpb.Dispatch, regions region.Set) (dedupe.Verdict, dedupe.Answer) {
+// Invariant: a request without a record runs only if an owner was asked that every list active during the window
+// names as an owner, and that remembers the whole window; a resend only if both owners were.
+func (k *keyStore) claim(now time.Time, d *peerpb.Dispatch, regions region.Set) (dedupe.Verdict, dedupe.Answer) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	c := d.GetClaim()
 	id := dedupe.ID{Scope: c.GetScope(), Key: c.GetKey()}
-	fits := func(l keyList) bool {
-		place := slices.Index(keyowner.Homes(l.within(regions), id), d.GetEndpoint())
-		// A caller that marks no attempts has the first home only, so it must have been the same one all along.
-		return place == 0 || place > 0 && c.GetAttempt() > 0
+	fits := func(l endpointList) bool {
+		rank := slices.Index(keyowner.Homes(l.allowedIn(regions), id), d.GetEndpoint())
+		// A caller that does not number its attempts asks the first owner only, which must have been the same all
+		// along.
+		return rank == 0 || rank > 0 && c.GetAttempt() > 0
 	}
-	return k.home.Claim(now, dedupe.Claim{
+	return k.records.Claim(now, dedupe.Claim{
 		ID: id, Attempt: c.GetAttempt(), Fingerprint: c.GetFingerprint(), Fence: c.GetFence(), Vouched: c.GetVouched(),
-		Covered:  sameRegions(c, regions) && k.homeSince(now.Add(-k.window-k.slack), d.GetService(), fits),
+		Covered:  sameRegions(c, regions) && k.ownerSince(now.Add(-k.window-k.convergence), d.GetService(), fits),
 		Deadline: now.Add(time.Duration(d.GetBudgetMicros()) * time.Microsecond),
 	})
 }
 
-// sameRegions tells whether a claim goes by the regions that this node knows of: by others its key has other homes.
+// sameRegions reports whether the sender of a claim assumed the regions that this node knows of; with others, the key
+// has other owners.
 func sameRegions(c *peerpb.Claim, regions region.Set) bool {
 	return c.GetBound() == regions.Bound() && slices.Equal(c.GetRegions(), regions.Names())
 }
 
-func (k *keys) settle(now time.Time, scope, key string, outcome peerpb.Outcome, a dedupe.Answer) {
+func (k *keyStore) settle(now time.Time, scope, key string, outcome peerpb.Outcome, answer dedupe.Answer) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	id := dedupe.ID{Scope: scope, Key: key}
 	if outcome == peerpb.Outcome_OUTCOME_NOT_RUN {
-		k.home.Release(now, id)
+		k.records.Release(now, id)
 		return
 	}
-	k.home.Finish(now, id, outcome, a)
+	k.records.Finish(now, id, outcome, answer)
 }
 
-func (k *keys) len() int {
+func (k *keyStore) len() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.home.Len()
+	return k.records.Len()
 }
 
 // verdictEnd answers a claim that was not granted.
@@ -199,40 +203,40 @@
 	return end
 }
 
-// keepingSink keeps the answer for a replay while it passes it on. An answer that could not be passed on is still
-// read to its end by nobody, so it is kept only when complete.
-type keepingSink struct {
+// replaySink records the answer for a replay while it passes it on. If the caller is gone the answer is still read to
+// its end; only a complete one is stored.
+type replaySink struct {
 	peer.Sink
-	head *peerpb.Head
-	body []byte
-	lost bool
+	head       *peerpb.Head
+	body       []byte
+	callerLost bool
 }
 
 // HandOver implements peer.HandOver.
-func (s *keepingSink) HandOver() bool { return peer.MayHandOver(s.Sink) }
+func (s *replaySink) HandOver() bool { return peer.MayHandOver(s.Sink) }
 
 // Head implements peer.Sink.
-func (s *keepingSink) Head(h *peerpb.Head, soon bool) error {
+func (s *replaySink) Head(h *peerpb.Head, soon bool) error {
 	s.head = h
-	s.passed(s.Sink.Head(h, soon))
+	s.noteError(s.Sink.Head(h, soon))
 	return nil
 }
 
 // Data implements peer.Sink.
-func (s *keepingSink) Data(b []byte, last bool) error {
+func (s *replaySink) Data(b []byte, last bool) error {
 	if len(s.body) <= dedupe.KeptBody {
 		s.body = append(s.body, b...)
 	}
-	if !s.lost {
-		s.passed(s.Sink.Data(b, last))
+	if !s.callerLost {
+		s.noteError(s.Sink.Data(b, last))
 	}
 	return nil
 }
 
-// passed notes that the caller cannot be reached; the answer is read on for the record.
-func (s *keepingSink) passed(err error) { s.lost = s.lost || err != nil }
+// noteError records that the caller cannot be reached; the answer is read on for the key's record.
+func (s *replaySink) noteError(err error) { s.callerLost = s.callerLost || err != nil }
 
-func (s *keepingSink) answer(end *peerpb.End) dedupe.Answer {
-	kept := end.GetComplete() && len(s.body) <= dedupe.KeptBody
-	return dedupe.Answer{Head: s.head, Body: s.body, Kept: kept}
+func (s *replaySink) answer(end *peerpb.End) dedupe.Answer {
+	stored := end.GetComplete() && len(s.body) <= dedupe.KeptBody
+	return dedupe.Answer{Head: s.head, Body: s.body, Kept: stored}
 }
--- a/egress/keys_test.go
+++ b/egress/keys_test.go
@@ -13,77 +13,78 @@
 	"github.com/lynxplank/lynxplank/region"
 )
 
-// The model: endpoints a to d, each with its keys; lists of endpoints that every home and every ingress adopts some
-// time after it was made, within the slack; one key, sent several times within the window, each send stepping through
-// the ingress's protocol while others do, while homes restart with empty memory and cannot be reached.
+// The model: endpoints a to d, each with its key records; lists of endpoints, which every owner and every ingress
+// adopts some time after they were made, within the convergence time; and one key, sent several times within the
+// window. The sends go through the steps of the ingress's protocol concurrently, while owners restart with empty
+// memory or cannot be reached.
 
 const (
-	modelWindow = time.Minute
-	modelSlack  = 5 * time.Second
-	modelSkew   = modelSlack - time.Second
+	modelWindow      = time.Minute
+	modelConvergence = 5 * time.Second
+	modelSkew        = modelConvergence - time.Second
 )
 
-type modelHome struct {
-	keys *keys
+type modelOwner struct {
+	keys *keyStore
 	list int
 	down bool
 }
 
 type modelSend struct {
-	attempt uint32
-	homes   []string
-	asked   int
-	doubt   bool
-	done    bool
+	attempt  uint32
+	owners   []string
+	asked    int
+	notClean bool
+	done     bool
 }
 
 type model struct {
-	now    time.Time
-	lists  [][]string
-	since  []time.Time
-	homes  map[string]*modelHome
-	sends  []*modelSend
-	first  time.Time
-	runs   int
-	id     dedupe.ID
-	slack  time.Duration
-	window time.Duration
+	now         time.Time
+	lists       [][]string
+	since       []time.Time
+	owners      map[string]*modelOwner
+	sends       []*modelSend
+	first       time.Time
+	runs        int
+	id          dedupe.ID
+	convergence time.Duration
+	window      time.Duration
 }
 
-func newModel(t *rapid.T, slack time.Duration) *model {
-	m := &model{now: time.Unix(1e6, 0), homes: make(map[string]*modelHome), slack: slack, window: modelWindow}
+func newModel(t *rapid.T, convergence time.Duration) *model {
+	m := &model{now: time.Unix(1e6, 0), owners: make(map[string]*modelOwner), convergence: convergence, window: modelWindow}
 	m.id = dedupe.ID{Scope: "s", Key: rapid.StringMatching("[a-z]").Draw(t, "key")}
 	m.lists = [][]string{{"a", "b", "c"}}
 	m.since = []time.Time{m.now}
 	for _, name := range []string{"a", "b", "c", "d"} {
-		m.homes[name] = &modelHome{}
+		m.owners[name] = &modelOwner{}
 		m.restart(name)
 	}
-	m.now = m.now.Add(modelWindow + 2*modelSlack)
+	m.now = m.now.Add(modelWindow + 2*modelConvergence)
 	return m
 }
 
 func (m *model) restart(name string) {
-	h := m.homes[name]
-	h.keys = newKeys(dedupe.NewHome(m.window, 1<<20), m.window, m.slack)
-	h.keys.noteList(keyList{from: m.now, endpoints: m.lists[h.list]}, "desk")
+	o := m.owners[name]
+	o.keys = newKeyStore(dedupe.NewHome(m.window, 1<<20), m.window, m.convergence)
+	o.keys.addList(endpointList{since: m.now, endpoints: m.lists[o.list]}, "desk")
 }
 
-// adopt lets a home take the newest list.
+// adopt has an owner adopt the newest list.
 func (m *model) adopt(name string) {
-	h := m.homes[name]
-	h.list = len(m.lists) - 1
-	h.keys.noteList(keyList{from: m.now, endpoints: m.lists[h.list]}, "desk")
+	o := m.owners[name]
+	o.list = len(m.lists) - 1
+	o.keys.addList(endpointList{since: m.now, endpoints: m.lists[o.list]}, "desk")
 }
 
-// catchUp makes every home adopt what has been in force for longer than a change takes to spread.
+// catchUp has every owner adopt a list that has been active for longer than a change takes to spread.
 func (m *model) catchUp() {
 	last := len(m.lists) - 1
 	if m.now.Sub(m.since[last]) < modelSkew {
 		return
 	}
-	for name, h := range m.homes {
-		if h.list < last {
+	for name, o := range m.owners {
+		if o.list < last {
 			m.adopt(name)
 		}
 	}
@@ -93,34 +94,35 @@
 	if m.first.IsZero() {
 		m.first = m.now
 	}
-	m.sends = append(m.sends, &modelSend{attempt: attempt, homes: keyowner.Homes(m.lists[list], m.id)})
+	m.sends = append(m.sends, &modelSend{attempt: attempt, owners: keyowner.Homes(m.lists[list], m.id)})
 }
 
-// step does the next step of a send, as ingress.runKeyed does it.
+// step performs the next step of a send as the ingress does it, see ingress/keyed.go.
 func (m *model) step(s *modelSend, reachable bool) {
 	switch {
 	case s.attempt == 0:
-		m.ran(m.ask(s, s.homes[0], &peerpb.Claim{}, reachable))
+		m.ran(m.ask(s, s.owners[0], &peerpb.Claim{}, reachable))
 		s.done = true
 	case s.attempt == 1:
 		m.firstStep(s, reachable)
-	case s.asked < len(s.homes):
-		v, ok := m.ask(s, s.homes[s.asked], &peerpb.Claim{Fence: true}, reachable)
-		s.doubt = s.doubt || !ok || v != dedupe.Clean
+	case s.asked < len(s.owners):
+		v, ok := m.ask(s, s.owners[s.asked], &peerpb.Claim{Fence: true}, reachable)
+		s.notClean = s.notClean || !ok || v != dedupe.Clean
 		s.asked++
-		s.done = s.asked == len(s.homes) && s.doubt
+		s.done = s.asked == len(s.owners) && s.notClean
 	default:
-		m.ran(m.ask(s, s.homes[0], &peerpb.Claim{}, reachable))
+		m.ran(m.ask(s, s.owners[0], &peerpb.Claim{}, reachable))
 		s.done = true
 	}
 }
 
-// firstStep follows ingress.firstAttempt: 0 the first home, 1 the second home's word, 2 the first home with it, 3 the
-// second home.
+// firstStep performs the next step of a first attempt as the ingress does it: 0 claims at the first owner, 1 asks the
+// second owner whether the key is clean, 2 claims at the first owner with that confirmation, 3 claims at the second
+// owner.
 func (m *model) firstStep(s *modelSend, reachable bool) {
 	switch s.asked {
 	case 0:
-		v, ok := m.ask(s, s.homes[0], &peerpb.Claim{}, reachable)
+		v, ok := m.ask(s, s.owners[0], &peerpb.Claim{}, reachable)
 		m.ran(v, ok)
 		s.done = ok && v != dedupe.Young
 		s.asked = 3
@@ -128,14 +130,14 @@
 			s.asked = 1
 		}
 	case 1:
-		v, ok := m.ask(s, s.homes[1], &peerpb.Claim{Fence: true}, reachable)
+		v, ok := m.ask(s, s.owners[1], &peerpb.Claim{Fence: true}, reachable)
 		s.done = !ok || v != dedupe.Clean
 		s.asked = 2
 	case 2:
-		m.ran(m.ask(s, s.homes[0], &peerpb.Claim{Vouched: true}, reachable))
+		m.ran(m.ask(s, s.owners[0], &peerpb.Claim{Vouched: true}, reachable))
 		s.done = true
 	default:
-		m.ran(m.ask(s, s.homes[1], &peerpb.Claim{}, reachable))
+		m.ran(m.ask(s, s.owners[1], &peerpb.Claim{}, reachable))
 		s.done = true
 	}
 }
@@ -146,15 +148,15 @@
 	}
 }
 
-// ask brings a claim to a home; ok is false when it cannot be reached.
+// ask sends a claim to an owner; ok is false if the owner cannot be reached.
 func (m *model) ask(s *modelSend, name string, c *peerpb.Claim, reachable bool) (dedupe.Verdict, bool) {
-	h := m.homes[name]
-	if !reachable || h.down {
+	o := m.owners[name]
+	if !reachable || o.down {
 		return 0, false
 	}
 	c.Scope, c.Key, c.Attempt = m.id.Scope, m.id.Key, s.attempt
 	d := &peerpb.Dispatch{Endpoint: name, Service: "desk", BudgetMicros: time.Second.Microseconds(), Claim: c}
-	v, _ := h.keys.claim(m.now, d, region.Any)
+	v, _ := o.keys.claim(m.now, d, region.Any)
 	return v, true
 }
 
@@ -174,11 +176,11 @@
 		"adopt":   func(t *rapid.T) { m.adopt(name(t)) },
 		"restart": func(t *rapid.T) { m.restart(name(t)) },
 		"down": func(t *rapid.T) {
-			h := m.homes[name(t)]
-			h.down = !h.down
+			o := m.owners[name(t)]
+			o.down = !o.down
 		},
 		"finish": func(t *rapid.T) {
-			m.homes[name(t)].keys.settle(m.now, m.id.Scope, m.id.Key, peerpb.Outcome_OUTCOME_RAN, dedupe.Answer{})
+			m.owners[name(t)].keys.settle(m.now, m.id.Scope, m.id.Key, peerpb.Outcome_OUTCOME_RAN, dedupe.Answer{})
 		},
 		"time": func(t *rapid.T) {
 			m.now = m.now.Add(time.Duration(rapid.IntRange(1, 4000).Draw(t, "ms")) * time.Millisecond)
@@ -217,12 +219,12 @@
 	}
 }
 
-// TestKeyRunsAtMostOnce explores the protocol of marked sends.
+// TestKeyRunsAtMostOnce explores the protocol for sends with attempt numbers.
 func TestKeyRunsAtMostOnce(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) { t.Repeat(newModel(t, modelSlack).actions(true)) })
+	rapid.Check(t, func(t *rapid.T) { t.Repeat(newModel(t, modelConvergence).actions(true)) })
 }
 
-// TestUnmarkedKeyRunsAtMostOnce explores the protocol of sends without attempt numbers.
+// TestUnmarkedKeyRunsAtMostOnce explores the protocol for sends without attempt numbers.
 func TestUnmarkedKeyRunsAtMostOnce(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) { t.Repeat(newModel(t, modelSlack).actions(false)) })
+	rapid.Check(t, func(t *rapid.T) { t.Repeat(newModel(t, modelConvergence).actions(false)) })
 }
--- a/egress/lastresort_test.go
+++ b/egress/lastresort_test.go
@@ -12,8 +12,9 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// breaksOff returns the address of an endpoint that takes requests and resets every connection.
-func breaksOff(t *testing.T) string {
+// resettingEndpoint returns the address of an endpoint that accepts connections and resets each of them once a
+// request arrives.
+func resettingEndpoint(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -34,10 +35,10 @@
 	return l.Addr().String()
 }
 
-// TestLastResortIsRefusedWhereTrialsFail checks that a payment which no other endpoint takes is told as not run, with a
-// time to come back, by an endpoint that fails its trials, and that a repeatable request is tried there all the same.
+// TestLastResortIsRefusedWhereTrialsFail checks that an endpoint whose trials fail refuses a payment that no other
+// endpoint accepts as not run, with a time to come back, but that a repeatable request is tried there all the same.
 func TestLastResortIsRefusedWhereTrialsFail(t *testing.T) {
-	e := at(t, breaksOff(t), table.Active)
+	e := newTestEgress(t, resettingEndpoint(t), table.Active)
 	if got, want := serve(t, e, payment()).GetOutcome(), peerpb.Outcome_OUTCOME_UNKNOWN; got != want {
 		t.Fatalf("first: got %v, want %v", got, want)
 	}
@@ -55,24 +56,24 @@
 	}
 	last.LikelyOnly = false
 	if got, want := serve(t, e, last).GetOutcome(), peerpb.Outcome_OUTCOME_UNKNOWN; got != want {
-		t.Errorf("repeatable: got %v, want it to be tried: %v", got, want)
+		t.Errorf("repeatable request: got %v, want it tried: %v", got, want)
 	}
 }
 
-// TestSilentEndpointIsSuspected has an endpoint take work and never answer: after the second one the time for which ran
-// out, a payment is refused as not run instead of being lost there too.
+// TestSilentEndpointIsSuspected has an endpoint accept requests and never answer: after two payments whose deadlines
+// passed, a third one is refused as not run instead of being lost there too.
 func TestSilentEndpointIsSuspected(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = l.Close() })
-	e := at(t, l.Addr().String(), table.Active)
+	e := newTestEgress(t, l.Addr().String(), table.Active)
 	for i, want := range []peerpb.Outcome{
 		peerpb.Outcome_OUTCOME_UNKNOWN, peerpb.Outcome_OUTCOME_UNKNOWN, peerpb.Outcome_OUTCOME_NOT_RUN,
 	} {
 		ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
-		end := e.Serve(ctx, payment(), strings.NewReader(""), discard{})
+		end := e.Serve(ctx, payment(), strings.NewReader(""), discardSink{})
 		cancel()
 		if got := end.GetOutcome(); got != want {
 			t.Errorf("payment %d: got %v, want %v", i+1, end, want)
--- a/egress/local.go
+++ b/egress/local.go
@@ -23,75 +23,77 @@
 	"github.com/lynxplank/lynxplank/upstream"
 )
 
-// local is the runtime of one endpoint beside this node.
-type local struct {
+// localEndpoint is the runtime state of one endpoint beside this node.
+type localEndpoint struct {
 	key     string
 	address atomic.Pointer[string]
-	// leaving is set once the endpoint has said so itself.
-	leaving atomic.Bool
-	// finished counts the runs that choosers judge by, failed those of them that failed.
+	// draining is set once the endpoint itself has reported that it is draining.
+	draining atomic.Bool
+	// finished counts the runs by which directors judge the endpoint, failed those of them that failed.
 	finished atomic.Uint64
 	failed   atomic.Uint64
-	// said is the endpoint's last word about its load.
-	said atomic.Pointer[contract.Load]
+	// reportedLoad is the load that the endpoint reported last.
+	reportedLoad atomic.Pointer[contract.Load]
 
 	contract contract.Contract
 	pool     *upstream.Pool
 
 	mu      sync.Mutex
 	breaker *breaker.Breaker
-	// watch weighs the work under way, trial is the piece of it that is the breaker's trial, 0 for none.
-	watch breaker.Watch
-	trial uint64
-	// asking are the sinks of work under way whose senders want to hear when its answer is due.
-	asking map[uint64]peer.Sink
-	// suspected is set while the breaker is open for the work under way alone.
-	suspected bool
-	// looks has the work under way looked at, nil before there was any.
-	looks *time.Timer
-	// shown is the breaker's state as it was last logged.
-	shown breaker.State
-	queue *admission.Queue
-	slots int
-	// stalls are the runs that wait for their callers, since when they do.
+	// monitor watches the in-flight requests; trialID is the one of them that is the breaker's trial, 0 for none.
+	monitor breaker.Watch
+	trialID uint64
+	// dueSinks are the sinks of in-flight requests whose senders asked to be told when an answer is due.
+	dueSinks map[uint64]peer.Sink
+	// openedByMonitor is set while the breaker is open because of in-flight requests alone.
+	openedByMonitor bool
+	// evaluationTimer runs the evaluations of the in-flight monitor; nil before the first request.
+	evaluationTimer *time.Timer
+	// loggedState is the breaker's state as it was last logged.
+	loggedState breaker.State
+	queue       *admission.Queue
+	slots       int
+	// stalls are the runs that wait for their callers to read, those that have waited longest first.
 	stalls []stall
-	// times are those of the endpoint's work that ended well.
-	times *latency.Kinds
-	// retries is the endpoint's part of the fleet's budget, share what a request's first arrival earns of it.
-	retries *retry.Budget
-	share   float64
-	// cold keeps the endpoint to what it bears while it is cold, or may be, by clock.
-	cold  *coldstart.Door
-	clock clock.Clock
-	// spoke is set once the endpoint has said how long it is cold; warmup is how long it is after a start if it does not say, coldTill
-	// until when that is.
-	spoke    bool
-	warmup   time.Duration
-	coldTill time.Time
-	// service is the endpoint's service, part its part of that service's slack.
-	service  string
-	part     float64
-	arrivals arrivals
-	// broken is the work that broke off since the endpoint last showed that it lives, checking is set while it is asked.
-	broken   []brokenWork
-	checking bool
-	// waiters are the channels on which queued requests wait for their decision, by the queue's ids.
+	// latencies are the service times of the requests that ended well.
+	latencies *latency.Kinds
+	// retryBudget is the endpoint's share of the fleet's retry budget; retryRatio is what the first send of a request
+	// adds to it.
+	retryBudget *retry.Budget
+	retryRatio  float64
+	// coldLimiter limits the rate while the endpoint is, by clock, cold or possibly cold.
+	coldLimiter *coldstart.Door
+	clock       clock.Clock
+	// reportsCold is set once the endpoint has reported how long it is cold. Without such a report, it is taken to be
+	// cold for warmup after a start, until coldUntil.
+	reportsCold bool
+	warmup      time.Duration
+	coldUntil   time.Time
+	// service is the endpoint's service, slackShare its share of that service's retry slack.
+	service    string
+	slackShare float64
+	arrivals   arrivals
+	// brokenRequests are those that broke since the endpoint was last found alive; crashCheckRunning is set while it
+	// is being checked.
+	brokenRequests    []brokenRequest
+	crashCheckRunning bool
+	// waiters are the channels on which queued requests wait for their decision, by their ids in the queue.
 	waiters map[uint64]chan admission.Decision
 }
 
-func newLocal(row table.Entry[table.Endpoint], cfg Config, c clock.Clock, pool *upstream.Pool, random *rand.Rand) *local {
-	return &local{
+func newLocalEndpoint(row table.Entry[table.Endpoint], cfg Config, c clock.Clock, pool *upstream.Pool, random *rand.Rand) *localEndpoint {
+	return &localEndpoint{
 		key: row.Key, contract: cfg.Contract, pool: pool, breaker: breaker.New(cfg.Breaker),
-		queue:   admission.NewQueue(int(row.Value.Slots), 0, random),
-		waiters: make(map[uint64]chan admission.Decision),
-		asking:  make(map[uint64]peer.Sink),
-		times:   latency.NewKinds(), retries: retry.NewBudget(time.Now(), cfg.Retries.Window, cfg.ConvergenceTime),
-		arrivals: arrivals{toldAt: time.Now()}, cold: coldstart.NewDoor(c(), cfg.ColdLimit), clock: c,
+		queue:     admission.NewQueue(int(row.Value.Slots), 0, random),
+		waiters:   make(map[uint64]chan admission.Decision),
+		dueSinks:  make(map[uint64]peer.Sink),
+		latencies: latency.NewKinds(), retryBudget: retry.NewBudget(time.Now(), cfg.Retries.Window, cfg.ConvergenceTime),
+		arrivals: arrivals{loggedAt: time.Now()}, coldLimiter: coldstart.NewDoor(c(), cfg.ColdLimit), clock: c,
 	}
 }
 
-// configure takes the endpoint's address and limits as they are in force now.
-func (l *local) configure(row table.Entry[table.Endpoint], service table.ServiceView, cfg Config) {
+// configure applies the endpoint's address and limits from the active configuration.
+func (l *localEndpoint) configure(row table.Entry[table.Endpoint], service table.ServiceView, cfg Config) {
 	address := row.Value.Address
 	if old := l.address.Load(); old == nil || *old != address {
 		l.address.Store(&address)
@@ -100,21 +102,21 @@
 	defer l.mu.Unlock()
 	l.slots = int(row.Value.Slots)
 	l.queue.SetLimits(l.slots, int(service.Value.Queue))
-	l.share = float64(service.Value.RetryBudget)
-	l.service, l.part = row.Value.Service, partOf(row.Key, service, cfg.Retries)
-	l.retries.SetSlack(time.Now(), l.part)
+	l.retryRatio = float64(service.Value.RetryBudget)
+	l.service, l.slackShare = row.Value.Service, slackShareOf(row.Key, service, cfg.Retries)
+	l.retryBudget.SetSlack(time.Now(), l.slackShare)
 	bound := cfg.ColdLimit
 	bound.Rate = float64(service.Value.ColdRate)
 	now := l.clock()
-	l.cold.SetBound(now, bound)
+	l.coldLimiter.SetBound(now, bound)
 	l.warmup = time.Duration(service.Value.Warmup)
-	if l.coldTill.IsZero() {
-		l.coldTill = now.Add(l.warmup)
+	if l.coldUntil.IsZero() {
+		l.coldUntil = now.Add(l.warmup)
 	}
 }
 
-// partOf returns an endpoint's part of its service's slack of retries.
-func partOf(key string, service table.ServiceView, slack retry.Share) float64 {
+// slackShareOf returns an endpoint's share of its service's retry slack.
+func slackShareOf(key string, service table.ServiceView, slack retry.Share) float64 {
 	n, rank := len(service.Endpoints), 0
 	if n > slack.Holders() {
 		rank, _ = slices.BinarySearchFunc(service.Endpoints, key, func(e table.Entry[table.Endpoint], key string) int {
@@ -124,89 +126,91 @@
 	return slack.Part(n, rank)
 }
 
-// admit returns nil once the request holds a slot, else the refusal.
-func (l *local) admit(ctx context.Context, id uint64, d *peerpb.Dispatch, s *table.State) *peerpb.End {
+// waitForSlot returns nil once the request holds a slot, otherwise the refusal.
+func (l *localEndpoint) waitForSlot(ctx context.Context, id uint64, d *peerpb.Dispatch, s *table.State) *peerpb.End {
 	customer, _ := s.Customer(d.GetCustomer())
 	deadline, _ := ctx.Deadline()
 	r := admission.Request{
-		ID: id, Customer: payer(d), Weight: float64(customer.Value.Weight), Deadline: deadline,
-		Aim: time.Now().Add(aimLeft(d)), Priority: int(d.GetPriority()), NoWait: d.GetExchange() != 0 && !d.GetWait(), Work: l.expected(d),
+		ID: id, Customer: queueCustomer(d), Weight: float64(customer.Value.Weight), Deadline: deadline,
+		Aim: time.Now().Add(latencyTarget(d)), Priority: int(d.GetPriority()), NoWait: d.GetExchange() != 0 && !d.GetWait(), Work: l.expectedDuration(d),
 	}
-	wait, until, end := l.offer(r)
-	if wait == nil {
+	decided, until, end := l.enqueue(r)
+	if decided == nil {
 		return end
 	}
-	expire := time.AfterFunc(time.Until(until), l.expire)
+	expire := time.AfterFunc(time.Until(until), l.expireQueued)
 	defer expire.Stop()
 	select {
-	case decision := <-wait:
+	case decision := <-decided:
 		return refusal(decision)
 	case <-ctx.Done():
-		return l.giveUp(ctx, id, wait)
+		return l.cancelQueued(ctx, id, decided)
 	}
 }
 
-// payer is by whom the request shares the queue. One that bears no customer's key, as the calls of endpoints' work, stands for
-// itself: counted as one customer, the calls of all customers' work waited behind everybody else's requests.
-func payer(d *peerpb.Dispatch) string {
+// queueCustomer is the customer to whom the queue attributes a request. A request without a customer's key, such as a
+// call that an endpoint makes while it handles another request, counts as a customer of its own: when all of them
+// counted as one customer, the calls made on behalf of all customers waited behind everybody else's requests.
+func queueCustomer(d *peerpb.Dispatch) string {
 	if c := d.GetCustomer(); c != "" {
 		return c
 	}
 	return "request " + d.GetRequestId()
 }
 
-// aimLeft is the time in which the answer is worth its full value; without one, the whole time left.
-func aimLeft(d *peerpb.Dispatch) time.Duration {
-	if aim := d.GetAimMicros(); aim != 0 {
-		return time.Duration(aim) * time.Microsecond
+// latencyTarget is the time within which the answer has its full value; without a target, all the time left.
+func latencyTarget(d *peerpb.Dispatch) time.Duration {
+	if target := d.GetAimMicros(); target != 0 {
+		return time.Duration(target) * time.Microsecond
 	}
 	return time.Duration(d.GetBudgetMicros()) * time.Microsecond
 }
 
-// expire refuses the queued requests whose time is over.
-func (l *local) expire() {
+// expireQueued refuses the queued requests whose time is over.
+func (l *localEndpoint) expireQueued() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.deliver(l.queue.Expire(time.Now()))
 }
 
-// offer puts a request to the queue: it returns a channel and until when the decision comes on it, or the decision at once.
-func (l *local) offer(r admission.Request) (chan admission.Decision, time.Time, *peerpb.End) {
+// enqueue offers a request to the queue. It returns the channel on which the decision arrives and the latest time for
+// it; for an immediate decision, it returns a nil channel and the refusal, if any.
+func (l *localEndpoint) enqueue(r admission.Request) (chan admission.Decision, time.Time, *peerpb.End) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	decision, evicted := l.queue.Offer(time.Now(), r)
 	l.deliver(evicted)
 	if decision.Action != admission.Run {
-		l.press()
+		l.reclaimStalledSlot()
 	}
 	if decision.Action != admission.Wait {
 		return nil, time.Time{}, refusal(decision)
 	}
-	wait := make(chan admission.Decision, 1)
-	l.waiters[r.ID] = wait
-	return wait, decision.Until, nil
+	decided := make(chan admission.Decision, 1)
+	l.waiters[r.ID] = decided
+	return decided, decision.Until, nil
 }
 
-// deliver hands decisions to the requests that wait for them; the lock is held.
-func (l *local) deliver(decisions []admission.Decision) {
+// deliver sends decisions to the requests that wait for them; the lock must be held.
+func (l *localEndpoint) deliver(decisions []admission.Decision) {
 	for _, d := range decisions {
-		if wait := l.waiters[d.ID]; wait != nil {
-			wait <- d
+		if decided := l.waiters[d.ID]; decided != nil {
+			decided <- d
 			delete(l.waiters, d.ID)
 		}
 	}
 }
 
-// giveUp takes a request whose context has ended out of the queue.
-func (l *local) giveUp(ctx context.Context, id uint64, wait chan admission.Decision) *peerpb.End {
+// cancelQueued removes a request whose context has ended from the queue.
+func (l *localEndpoint) cancelQueued(ctx context.Context, id uint64, decided chan admission.Decision) *peerpb.End {
 	l.mu.Lock()
 	canceled := l.queue.Cancel(id)
 	delete(l.waiters, id)
 	l.mu.Unlock()
 	if !canceled {
-		// The decision came at the same moment; a slot that it granted goes back unused.
-		if decision := <-wait; decision.Action == admission.Run {
-			l.free(0)
+		// The decision was made at the same moment; a slot that it granted is returned unused.
+		if decision := <-decided; decision.Action == admission.Run {
+			l.freeSlot(0)
 		}
 	}
 	code := fault.Canceled
@@ -216,7 +220,7 @@
 	return peer.NotRun(code, shortRetryAfter)
 }
 
-// refusal is the end of a request that the queue refused, nil of one that runs.
+// refusal returns the end of a request that the queue refused, nil for one that may run.
 func refusal(d admission.Decision) *peerpb.End {
 	if d.Action == admission.Run {
 		return nil
@@ -224,22 +228,22 @@
 	return peer.NotRun(d.Code, d.RetryAfter)
 }
 
-// free gives a slot back after some time of work, 0 where that says nothing of the endpoint's speed.
-func (l *local) free(service time.Duration) {
+// freeSlot returns a slot after a service time, 0 if the run says nothing about the endpoint's speed.
+func (l *localEndpoint) freeSlot(service time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.deliver(l.queue.Done(time.Now(), service))
 }
 
-// release frees the slot and counts the work. What the endpoint did not run says nothing about its speed.
-func (l *local) release(id uint64, service time.Duration, r result, d *peerpb.Dispatch, trial bool) {
-	l.judge(id, r, service, d, trial)
-	if !r.worked {
+// finishRun frees the slot and counts the run. A request that the endpoint did not run says nothing about its speed.
+func (l *localEndpoint) finishRun(id uint64, service time.Duration, r result, d *peerpb.Dispatch, trial bool) {
+	l.recordResult(id, r, service, d, trial)
+	if !r.sample {
 		service = 0
 	}
-	l.free(service)
-	// Trials are the breaker's own evidence; choosers judge by the work that it let through.
-	if !r.worked || trial {
+	l.freeSlot(service)
+	// Trials are samples for the breaker only; directors judge by the requests that it let through.
+	if !r.sample || trial {
 		return
 	}
 	l.finished.Add(1)
@@ -248,14 +252,14 @@
 	}
 }
 
-// load is what choosers are told of the endpoint, with the time that the latest work took.
-func (l *local) load(service time.Duration, incarnation uint64) *peerpb.Load {
+// loadReport returns the load that directors learn of, with the service time of the latest run.
+func (l *localEndpoint) loadReport(service time.Duration, incarnation uint64) *peerpb.Load {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return &peerpb.Load{
 		Slots: uint32(l.slots), Busy: uint32(l.queue.Busy()), Queued: uint32(l.queue.Waiting()), //nolint:gosec // small
 		Finished: l.finished.Load(), Failed: l.failed.Load(),
-		ServiceMicros: service.Microseconds(), Incarnation: incarnation, Leaving: l.leaving.Load(),
+		ServiceMicros: service.Microseconds(), Incarnation: incarnation, Leaving: l.draining.Load(),
 		Trial: l.breaker.State() == breaker.Trial, ColdMicros: l.coldMicros(),
 	}
 }
--- a/egress/offer.go
+++ b/egress/offer.go
@@ -14,88 +14,89 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// admitAndRun runs a request at its endpoint once that has room for it, or returns and logs the refusal.
+// admitAndRun runs a request at its endpoint once it is admitted there, or returns and logs the refusal.
 func (e *Egress) admitAndRun(ctx context.Context, d *peerpb.Dispatch, body io.Reader, sink peer.Sink) *peerpb.End {
 	l, end := e.find(d)
 	if end != nil {
 		e.logRefusal(nil, d, end)
 		return end
 	}
-	e.hear(l)
-	watch := e.clock.Begin()
-	trial, end := e.take(ctx, l, d, sink)
+	e.updateColdReport(l)
+	stopwatch := e.clock.Begin()
+	trial, end := e.runAdmissionChecks(ctx, l, d, sink)
 	if end != nil {
-		end.Load = l.load(0, e.cfg.Incarnation)
+		end.Load = l.loadReport(0, e.cfg.Incarnation)
 		e.logRefusal(l, d, end)
 		return end
 	}
-	ctx, cancel := withoutSuspended(ctx, watch)
+	ctx, cancel := subtractSuspension(ctx, stopwatch)
 	defer cancel()
 	return e.runAt(ctx, l, d, body, sink, trial)
 }
 
-// withoutSuspended brings the deadline of a request forward by the time in which the host was suspended while it waited: for its caller that
-// time went on.
-func withoutSuspended(ctx context.Context, watch clock.Stopwatch) (context.Context, context.CancelFunc) {
+// subtractSuspension moves the deadline of a request forward by the time for which the host was suspended while the
+// request waited: for its caller, that time has passed.
+func subtractSuspension(ctx context.Context, stopwatch clock.Stopwatch) (context.Context, context.CancelFunc) {
 	deadline, ok := ctx.Deadline()
-	lost := watch.Suspended()
-	if !ok || lost == 0 {
+	suspended := stopwatch.Suspended()
+	if !ok || suspended == 0 {
 		return ctx, func() {}
 	}
-	return context.WithDeadline(ctx, deadline.Add(-lost))
+	return context.WithDeadline(ctx, deadline.Add(-suspended))
 }
 
-// take brings a request to a slot of the endpoint and to the word of whoever sent it, or returns the refusal.
-func (e *Egress) take(ctx context.Context, l *local, d *peerpb.Dispatch, sink peer.Sink) (trial bool, end *peerpb.End) {
-	if !l.takes(time.Now(), d) {
-		return false, peer.NotRun(fault.Suspect, l.pauseLeft(time.Now()))
+// runAdmissionChecks returns nil once a request holds a slot and its sender has confirmed the dispatch, otherwise the
+// refusal.
+func (e *Egress) runAdmissionChecks(ctx context.Context, l *localEndpoint, d *peerpb.Dispatch, sink peer.Sink) (trial bool, end *peerpb.End) {
+	if !l.mayTake(time.Now(), d) {
+		return false, peer.NotRun(fault.Suspect, l.breakerRetryAfter(time.Now()))
 	}
 	if p, ok := sink.(peer.Permitter); ok && d.GetWait() {
 		p.Waiting()
 	}
-	if end := e.admit(ctx, l, d); end != nil {
+	if end := e.waitForSlot(ctx, l, d); end != nil {
 		return false, end
 	}
-	defer func() { l.tellArrivals(time.Now(), e.log) }()
-	if end := l.spend(time.Now(), d); end != nil {
-		l.free(0)
+	defer func() { l.logArrivals(time.Now(), e.log) }()
+	if end := l.takeRetry(time.Now(), d); end != nil {
+		l.freeSlot(0)
 		return false, end
 	}
-	admitted, end := e.admitCold(ctx, l, d)
+	admitted, end := e.waitWhileCold(ctx, l, d)
 	if end != nil {
-		l.unspend(d)
-		l.free(0)
+		l.returnRetry(d)
+		l.freeSlot(0)
 		return false, end
 	}
-	trial, end = e.permit(ctx, l, d, sink, admitted)
+	trial, end = e.confirmDispatch(ctx, l, d, sink, admitted)
 	if end != nil {
-		l.notSent()
-		l.unspend(d)
-		l.free(0)
+		l.returnColdAdmission()
+		l.returnRetry(d)
+		l.freeSlot(0)
 		return trial, end
 	}
-	l.arrived(time.Now(), d)
-	e.logOlder(d)
+	l.countDispatch(time.Now(), d)
+	e.logOlderConfig(d)
 	return trial, nil
 }
 
-// admit waits for a slot of the endpoint until the door is closed, and returns the refusal.
-func (e *Egress) admit(ctx context.Context, l *local, d *peerpb.Dispatch) *peerpb.End {
+// waitForSlot waits for a slot of the endpoint, at most until Close, and returns the refusal if there is none.
+func (e *Egress) waitForSlot(ctx context.Context, l *localEndpoint, d *peerpb.Dispatch) *peerpb.End {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer context.AfterFunc(e.closed, cancel)()
-	end := l.admit(ctx, e.nextID.Add(1), d, e.state())
-	if end != nil && e.closed.Err() != nil {
+	defer context.AfterFunc(e.closeCtx, cancel)()
+	end := l.waitForSlot(ctx, e.nextID.Add(1), d, e.state())
+	if end != nil && e.closeCtx.Err() != nil {
 		return peer.NotRun(fault.Draining, drainRetryAfter)
 	}
 	return end
 }
 
-// logRefusal tells why a request was turned away before the hand-over; l is nil where the endpoint is not here.
-func (e *Egress) logRefusal(l *local, d *peerpb.Dispatch, end *peerpb.End) {
+// logRefusal logs why a request was refused before its dispatch; l is nil if the endpoint was not found.
+func (e *Egress) logRefusal(l *localEndpoint, d *peerpb.Dispatch, end *peerpb.End) {
 	line := events.OfferRefused.Log(e.log).Str("request", d.GetRequestId()).Str("endpoint", d.GetEndpoint()).
 		Str("service", d.GetService()).Str("code", end.GetCode()).Uint64("config", d.GetConfig()).
-		Uint64("holds", e.state().Revisions()[table.PlaneConfig]).Uint64("seen", e.configs.newest[table.PlaneConfig].Load())
+		Uint64("holds", e.state().Revisions()[table.PlaneConfig]).Uint64("seen", e.seenRevisions.newest[table.PlaneConfig].Load())
 	if l != nil {
 		line.Uint32("busy", end.GetLoad().GetBusy()).Uint32("queued", end.GetLoad().GetQueued()).
 			Uint32("slots", end.GetLoad().GetSlots()).Str("breaker", l.breakerState().String())
@@ -103,10 +104,10 @@
 	line.Send()
 }
 
-// permit looks once more, at the moment of the hand-over, whether the request may run, and asks whoever sent it; admitted is when the
-// endpoint's door let it pass.
-func (e *Egress) permit(
-	ctx context.Context, l *local, d *peerpb.Dispatch, sink peer.Sink, admitted time.Time,
+// confirmDispatch checks again, right before the dispatch, whether the request may run, and asks its sender for a
+// confirmation. admitted is when the cold-start limiter admitted the request.
+func (e *Egress) confirmDispatch(
+	ctx context.Context, l *localEndpoint, d *peerpb.Dispatch, sink peer.Sink, admitted time.Time,
 ) (trial bool, end *peerpb.End) {
 	if _, end := e.find(d); end != nil {
 		return false, end
@@ -114,15 +115,15 @@
 	if ctx.Err() != nil {
 		return false, peer.NotRun(fault.DeadlineTooShort, shortRetryAfter)
 	}
-	ok, trial := l.allow(time.Now(), d)
+	ok, trial := l.allowDispatch(time.Now(), d)
 	if !ok {
-		return false, peer.NotRun(fault.Suspect, l.pauseLeft(time.Now()))
+		return false, peer.NotRun(fault.Suspect, l.breakerRetryAfter(time.Now()))
 	}
-	due := l.due(d)
-	p, asks := sink.(peer.Permitter)
-	if !asks {
+	due := l.answerDue(d)
+	p, isOffer := sink.(peer.Permitter)
+	if !isOffer {
 		if !peer.MayHandOver(sink) {
-			l.untry(trial)
+			l.releaseTrial(trial)
 			return false, peer.NotRun(fault.Stopping, 0)
 		}
 		if due > 0 {
@@ -132,20 +133,20 @@
 	}
 	deadline, _ := ctx.Deadline()
 	id := d.GetExchange()
-	e.records.begin(time.Now(), id, deadline)
+	e.answers.begin(time.Now(), id, deadline)
 	end = peer.NotRun(fault.OfferLapsed, 0)
-	if p.Permit(ctx, l.load(0, e.cfg.Incarnation), due) {
-		// The word may have taken a while, in which the configuration, or the endpoint, can have moved on.
-		_, moved := e.find(d)
+	if p.Permit(ctx, l.loadReport(0, e.cfg.Incarnation), due) {
+		// The configuration or the endpoint may have changed while the confirmation was on its way.
+		_, refused := e.find(d)
 		inTime := e.clock.Since(admitted) <= coldstart.SendWithin
-		if moved == nil && inTime && e.records.hand(id) {
+		if refused == nil && inTime && e.answers.dispatch(id) {
 			return trial, nil
 		}
-		if moved != nil {
-			end = moved
+		if refused != nil {
+			end = refused
 		}
 	}
-	e.records.void(id)
-	l.untry(trial)
+	e.answers.void(id)
+	l.releaseTrial(trial)
 	return false, end
 }
--- a/egress/regions_test.go
+++ b/egress/regions_test.go
@@ -12,8 +12,9 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// bind returns a state in which hall-1 is in a region, and the data of a route and a customer may be in some alone.
-func bind(t *testing.T, s *table.State, where, route, customer string) *table.State {
+// withRegions returns a state with hall-1 in a region, and with the regions to which a route and a customer restrict
+// their data.
+func withRegions(t *testing.T, s *table.State, where, route, customer string) *table.State {
 	t.Helper()
 	to := s.Revision() + 1
 	meta := table.Meta{Revision: to}
@@ -28,9 +29,10 @@
 	return next
 }
 
-// TestDataIsAskedForWhereItMayBe has requests come to a node whose region their data may not be in, by their route, their customer, both, or
-// because nobody says where the node is: each is refused as not run before its body is asked for, keyed ones too.
-func TestDataIsAskedForWhereItMayBe(t *testing.T) {
+// TestRequestsAreRefusedOutsideTheirRegions sends requests to a node whose region their data may not be in, because
+// of their route, their customer or both, or because the node's region is unknown. Each one, keyed or not, is refused
+// as not run before its body is read.
+func TestRequestsAreRefusedOutsideTheirRegions(t *testing.T) {
 	for _, c := range []struct {
 		where, route, customer string
 		want                   fault.Code
@@ -43,8 +45,8 @@
 		{"", "a", "", fault.OutOfRegion},
 	} {
 		for _, keyed := range []bool{false, true} {
-			e := at(t, "127.0.0.1:1", table.Active)
-			s := bind(t, e.state(), c.where, c.route, c.customer)
+			e := newTestEgress(t, "127.0.0.1:1", table.Active)
+			s := withRegions(t, e.state(), c.where, c.route, c.customer)
 			e.state = func() *table.State { return s }
 			e.Observe(time.Now(), &configsync.Snapshot{State: s})
 			d := payment()
@@ -61,13 +63,13 @@
 	}
 }
 
-// TestHomesMoveWithTheirRegions has the regions of a route change, and a sender that goes by other regions than the key's home knows: for the
-// window after it the home does not say that it knows of no run.
-func TestHomesMoveWithTheirRegions(t *testing.T) {
+// TestKeyOwnersChangeWithRegions changes the regions of a route, and has a sender assume other regions than the key's
+// owner knows: for a window after that, the owner must not vouch that no request with the key has run.
+func TestKeyOwnersChangeWithRegions(t *testing.T) {
 	const window = time.Minute
 	now := time.Unix(1e6, 0)
-	k := newKeys(dedupe.NewHome(window, 1<<20), window, 0)
-	home := at(t, "127.0.0.1:1", table.Active).state()
+	k := newKeyStore(dedupe.NewHome(window, 1<<20), window, 0)
+	original := newTestEgress(t, "127.0.0.1:1", table.Active).state()
 	observe := func(s *table.State) { k.observe(now, &configsync.Snapshot{State: s, Ready: true}, "h1") }
 	resend := func(name string, claimed, held []string) dedupe.Verdict {
 		set := region.Any.With(claimed)
@@ -76,15 +78,15 @@
 		v, _ := k.claim(now, d, region.Any.With(held))
 		return v
 	}
-	observe(bind(t, home, "a", "a,b", ""))
+	observe(withRegions(t, original, "a", "a,b", ""))
 	now = now.Add(2 * window)
 	if got, want := resend("known", []string{"a", "b"}, []string{"a", "b"}), dedupe.Grant; got != want {
 		t.Errorf("after a window: got verdict %v, want %v", got, want)
 	}
 	if got, worse := resend("other", []string{"a"}, []string{"a", "b"}), dedupe.Grant; got == worse {
-		t.Errorf("by other regions than the home's: got verdict %v, want none that lets it run", got)
+		t.Errorf("by other regions than the owner's: got verdict %v, want none that lets it run", got)
 	}
-	observe(bind(t, bind(t, home, "a", "a,b", ""), "a", "a", ""))
+	observe(withRegions(t, withRegions(t, original, "a", "a,b", ""), "a", "a", ""))
 	now = now.Add(window / 2)
 	if got, worse := resend("moved", []string{"a"}, []string{"a"}), dedupe.Grant; got == worse {
 		t.Errorf("half a window after the regions changed: got verdict %v, want none that lets it run", got)
--- a/egress/run.go
+++ b/egress/run.go
@@ -19,106 +19,108 @@
 	"github.com/lynxplank/lynxplank/upstream"
 )
 
-// result is how one run went.
+// result is the result of one run at an endpoint.
 type result struct {
 	end *peerpb.End
-	// worked is set when the endpoint had the request, and so the run is evidence about it.
-	worked bool
-	// failed is set when the endpoint did not do the work.
+	// sample is set when the run says something about the endpoint's health: the endpoint had the request, or
+	// accepted no connection.
+	sample bool
+	// failed is set when the endpoint failed to handle the request.
 	failed bool
-	// broken is set when its answer broke off or could not be read, or it took no connection.
-	broken bool
-	// silent is set when no answer had begun when the time ran out or the caller left.
-	silent bool
-	// unreachable is set when it took no connection.
+	// brokenOff is set when the answer broke off or could not be read, or the endpoint accepted no connection.
+	brokenOff bool
+	// unanswered is set when no answer had begun by the time the deadline passed or the caller left.
+	unanswered bool
+	// unreachable is set when the endpoint accepted no connection.
 	unreachable bool
-	// leaving is set when the endpoint's answer said that it is leaving.
-	leaving bool
-	// held is how long the endpoint had to wait for the caller to read.
-	held time.Duration
-	// cause is why there was no whole answer, nil if there was one.
+	// draining is set when the answer said that the endpoint is draining.
+	draining bool
+	// stalledFor is how long the endpoint had to wait for the caller to read.
+	stalledFor time.Duration
+	// cause is why there was no complete answer, nil if there was one.
 	cause error
 }
 
-// ranWell tells whether the endpoint ran the request and answered that it did the work.
-func (r result) ranWell() bool {
-	return r.worked && !r.failed && r.end.GetOutcome() == peerpb.Outcome_OUTCOME_RAN && r.end.GetComplete()
+// succeeded reports whether the endpoint ran the request and answered completely and without an error.
+func (r result) succeeded() bool {
+	return r.sample && !r.failed && r.end.GetOutcome() == peerpb.Outcome_OUTCOME_RAN && r.end.GetComplete()
 }
 
-// brokenAtWork tells whether the answer broke off, or never came, of a request that the endpoint may have been running.
-func (r result) brokenAtWork() bool {
-	return r.broken && r.worked && r.end.GetOutcome() != peerpb.Outcome_OUTCOME_NOT_RUN
+// brokenWhileRunning reports whether the answer broke off, or never came, of a request that the endpoint may have
+// been running.
+func (r result) brokenWhileRunning() bool {
+	return r.brokenOff && r.sample && r.end.GetOutcome() != peerpb.Outcome_OUTCOME_NOT_RUN
 }
 
 const (
-	answerBuffer = 32 << 10
-	// freshConn is how long a connection may have been idle for a request that must not repeat: an endpoint may have
-	// forgotten an older one, and then nobody could tell whether the request ran.
-	freshConn = 2 * time.Second
+	copyBufferSize = 32 << 10
+	// maxIdleNonRepeatable is the longest idle time of a connection that a non-repeatable request may use. The
+	// endpoint may have forgotten an older one, and then it would be unknown whether the request ran.
+	maxIdleNonRepeatable = 2 * time.Second
 )
 
-var answerBuffers = sync.Pool{New: func() any {
-	b := make([]byte, answerBuffer)
+var copyBuffers = sync.Pool{New: func() any {
+	b := make([]byte, copyBufferSize)
 	return &b
 }}
 
-// handling is how one run's answer is passed on.
-type handling struct {
+// answerHooks holds the sink for one run's answer and the callbacks for the events of the run.
+type answerHooks struct {
 	sink peer.Sink
-	// hold is what may be kept of the answer while its caller reads slower than the endpoint answers.
+	// hold accounts for what is buffered of the answer while its caller reads slower than the endpoint answers.
 	hold *memory.Hold
-	// alive notes that a part of the answer has come.
-	alive func()
-	// holdUp notes that the endpoint waits for the caller; see local.holdUp.
-	holdUp func() (wanted <-chan struct{}, over func())
-	// ended is told once how the run went, as soon as the endpoint is done with it; its caller may still be reading.
-	ended func(result)
+	// onProgress is called when a part of the answer has arrived.
+	onProgress func()
+	// onStall is called when the endpoint has to wait for the caller; see localEndpoint.noteStall.
+	onStall func() (wanted <-chan struct{}, over func())
+	// onDone receives the result once, as soon as the endpoint is done; the caller may still be reading then.
+	onDone func(result)
 }
 
-// run hands the request to the endpoint and passes its answer on.
-func (l *local) run(ctx context.Context, d *peerpb.Dispatch, body io.Reader, h handling) result {
-	stopLate := watchLate(d, h.sink)
+// run sends the request to the endpoint and passes its answer on.
+func (l *localEndpoint) run(ctx context.Context, d *peerpb.Dispatch, body io.Reader, h answerHooks) result {
+	stopLate := startLateTimer(d, h.sink)
 	resp, err := l.pool.Do(ctx, l.request(ctx, d, body))
 	stopLate()
 	if err != nil {
-		r := brokenOff(ctx, err)
-		h.ended(r)
+		r := noAnswerResult(ctx, err)
+		h.onDone(r)
 		return r
 	}
 	answer := l.contract.Answer(resp.StatusCode, resp.Header)
-	l.said.Store(&answer.Load)
+	l.reportedLoad.Store(&answer.Load)
 	if answer.NotRun || answer.Foreign {
-		r := unpassed(resp, answer)
+		r := rejectedAnswer(resp, answer)
 		resp.Close()
-		h.ended(r)
+		h.onDone(r)
 		return r
 	}
-	return l.pass(ctx, resp, answer.Leaving, h)
+	return l.passAnswer(ctx, resp, answer.Leaving, h)
 }
 
-// unpassed is how a run went whose answer is not passed on.
-func unpassed(resp *upstream.Response, answer contract.Answer) result {
+// rejectedAnswer is the result of a run whose answer is not passed on.
+func rejectedAnswer(resp *upstream.Response, answer contract.Answer) result {
 	if answer.NotRun {
-		return notRun(resp, answer)
+		return notRunResult(resp, answer)
 	}
 	return result{
-		end: peer.Unknown(fault.EndpointCut), worked: true, failed: true, broken: true,
-		cause: fault.New(fault.EndpointCut, strconv.Itoa(resp.StatusCode), "answer is not the endpoint's own"),
+		end: peer.Unknown(fault.EndpointCut), sample: true, failed: true, brokenOff: true,
+		cause: fault.New(fault.EndpointCut, strconv.Itoa(resp.StatusCode), "answer was not written by the endpoint itself"),
 	}
 }
 
-// notRun passes on the endpoint's word that it did not run the request.
-func notRun(resp *upstream.Response, answer contract.Answer) result {
-	// The rest of the answer is read, so that the connection can be used again.
+// notRunResult is the result of a run that the endpoint reports as not run.
+func notRunResult(resp *upstream.Response, answer contract.Answer) result {
+	// The rest of the answer is read so that the connection can be reused.
 	_, _ = io.Copy(io.Discard, resp)
 	end := peer.NotRun(fault.EndpointShed, retryAfterOf(resp.Header))
 	if answer.Misplaced {
 		end = peer.NotRun(fault.EndpointMoved, shortRetryAfter)
 	}
-	return result{end: end, leaving: answer.Leaving}
+	return result{end: end, draining: answer.Leaving}
 }
 
-func (l *local) request(ctx context.Context, d *peerpb.Dispatch, body io.Reader) upstream.Request {
+func (l *localEndpoint) request(ctx context.Context, d *peerpb.Dispatch, body io.Reader) upstream.Request {
 	deadline, _ := ctx.Deadline()
 	h := make(http.Header, len(d.GetHeaders()))
 	header.ToHTTP(d.GetHeaders(), h)
@@ -137,7 +139,7 @@
 		r.Body, r.Length = bytes.NewReader(d.GetBody()), int64(len(d.GetBody()))
 	}
 	if !d.GetRepeatable() {
-		r.Fresh = freshConn
+		r.Fresh = maxIdleNonRepeatable
 	}
 	r.Mine = func(status int, h http.Header) bool {
 		id := l.contract.Answer(status, h).ID
@@ -146,7 +148,7 @@
 	return r
 }
 
-func watchLate(d *peerpb.Dispatch, sink peer.Sink) func() {
+func startLateTimer(d *peerpb.Dispatch, sink peer.Sink) func() {
 	if d.GetLateMicros() <= 0 {
 		return func() {}
 	}
@@ -154,79 +156,79 @@
 	return func() { t.Stop() }
 }
 
-// brokenOff tells how a request without an answer ended.
-func brokenOff(ctx context.Context, err error) result {
+// noAnswerResult is the result of a run that got no answer.
+func noAnswerResult(ctx context.Context, err error) result {
 	code := fault.CodeOf(err)
 	canceled := ctx.Err() != nil && !errors.Is(ctx.Err(), context.DeadlineExceeded)
 	if code == fault.EndpointUnreachable {
 		if ctx.Err() != nil {
 			return result{end: peer.NotRun(fault.Canceled, shortRetryAfter)}
 		}
-		// An endpoint that takes no connection has failed at its work, though the request was not run.
+		// An endpoint that accepts no connection has failed, although the request did not run.
 		return result{
-			end: peer.NotRun(code, shortRetryAfter), worked: true, failed: true, broken: true, unreachable: true, cause: err,
+			end: peer.NotRun(code, shortRetryAfter), sample: true, failed: true, brokenOff: true, unreachable: true, cause: err,
 		}
 	}
 	return result{
-		end: peer.Unknown(code), worked: !canceled, failed: !canceled, broken: code == fault.EndpointCut,
-		silent: code == fault.DeadlineExceeded || code == fault.Canceled, cause: err,
+		end: peer.Unknown(code), sample: !canceled, failed: !canceled, brokenOff: code == fault.EndpointCut,
+		unanswered: code == fault.DeadlineExceeded || code == fault.Canceled, cause: err,
 	}
 }
 
-// pass copies the answer. An answer that breaks off ends as RAN but not complete.
-func (l *local) pass(ctx context.Context, resp *upstream.Response, leaving bool, h handling) result {
+// passAnswer passes the answer on. An answer that breaks off ends as RAN but not complete.
+func (l *localEndpoint) passAnswer(ctx context.Context, resp *upstream.Response, draining bool, h answerHooks) result {
 	failed := resp.StatusCode >= http.StatusInternalServerError
 	head := &peerpb.Head{Status: uint32(resp.StatusCode), Headers: l.contract.Return(resp.Header)} //nolint:gosec // 3 digits
-	soon := resp.ContentLength >= 0 && resp.ContentLength <= answerBuffer
-	ended := func(r result) result {
+	small := resp.ContentLength >= 0 && resp.ContentLength <= copyBufferSize
+	finish := func(r result) result {
 		resp.Close()
-		r.failed, r.leaving = r.failed || failed, leaving
-		h.ended(r)
+		r.failed, r.draining = r.failed || failed, draining
+		h.onDone(r)
 		return r
 	}
-	if h.sink.Head(head, soon) != nil {
-		return ended(ranSoFar())
+	if h.sink.Head(head, small) != nil {
+		return finish(incompleteRun())
 	}
-	if soon {
-		return ended(copyAnswer(ctx, resp, h.sink.Data))
+	if small {
+		return finish(copyAnswer(ctx, resp, h.sink.Data))
 	}
-	s := newSpool(h.hold, h.holdUp)
+	s := newAnswerBuffer(h.hold, h.onStall)
 	done := make(chan result, 1)
 	go func() {
 		r := copyAnswer(ctx, resp, func(b []byte, _ bool) error {
-			h.alive()
+			h.onProgress()
 			return s.put(ctx, b)
 		})
-		r.held = s.held
-		r = ended(r)
+		r.stalledFor = s.stalledFor
+		r = finish(r)
 		s.close()
 		done <- r
 	}()
 	if s.drain(h.sink) != nil {
 		r := <-done
-		r.end = ranSoFar().end
+		r.end = incompleteRun().end
 		return r
 	}
 	return <-done
 }
 
-// ranSoFar is how a run went whose answer nobody takes to its end.
-func ranSoFar() result {
-	return result{end: &peerpb.End{Outcome: peerpb.Outcome_OUTCOME_RAN}, worked: true}
+// incompleteRun is the result of a run whose answer nobody reads to its end.
+func incompleteRun() result {
+	return result{end: &peerpb.End{Outcome: peerpb.Outcome_OUTCOME_RAN}, sample: true}
 }
 
-// copyAnswer reads the body of an answer to its end, and has each piece taken.
+// copyAnswer reads the body of an answer to its end and calls take for each part.
 func copyAnswer(ctx context.Context, resp *upstream.Response, take func(b []byte, last bool) error) result {
-	r := ranSoFar()
-	p, _ := answerBuffers.Get().(*[]byte)
-	defer answerBuffers.Put(p)
+	r := incompleteRun()
+	p, _ := copyBuffers.Get().(*[]byte)
+	defer copyBuffers.Put(p)
 	buf := *p
 	for {
 		n, err := resp.Read(buf)
 		if n > 0 {
-			if taken := take(buf[:n], errors.Is(err, io.EOF)); taken != nil {
-				if fault.CodeOf(taken) == fault.CallerSlow {
-					r.end.Code, r.cause = string(fault.CallerSlow), taken
+			if takeErr := take(buf[:n], errors.Is(err, io.EOF)); takeErr != nil {
+				if fault.CodeOf(takeErr) == fault.CallerSlow {
+					r.end.Code, r.cause = string(fault.CallerSlow), takeErr
 				}
 				return r
 			}
@@ -238,7 +240,7 @@
 		if err != nil {
 			r.end.Code = string(fault.EndpointCut)
 			canceled := ctx.Err() == context.Canceled
-			r.worked, r.failed, r.broken, r.cause = !canceled, true, !canceled, err
+			r.sample, r.failed, r.brokenOff, r.cause = !canceled, true, !canceled, err
 			return r
 		}
 	}
--- a/egress/serve_test.go
+++ b/egress/serve_test.go
@@ -20,15 +20,15 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-type discard struct{}
+type discardSink struct{}
 
-func (discard) Late()                         {}
-func (discard) Due(time.Duration)             {}
-func (discard) Head(*peerpb.Head, bool) error { return nil }
-func (discard) Data([]byte, bool) error       { return nil }
+func (discardSink) Late()                         {}
+func (discardSink) Due(time.Duration)             {}
+func (discardSink) Head(*peerpb.Head, bool) error { return nil }
+func (discardSink) Data([]byte, bool) error       { return nil }
 
-// at returns an egress whose one endpoint stands at an address, in a phase.
-func at(t *testing.T, address string, phase table.Phase) *Egress {
+// newTestEgress returns an egress with one endpoint, which has an address and a phase.
+func newTestEgress(t *testing.T, address string, phase table.Phase) *Egress {
 	t.Helper()
 	service, err := table.NewRow(table.KindService, "desk", nil)
 	if err != nil {
@@ -58,11 +58,11 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	return e.Serve(ctx, d, strings.NewReader(""), discard{})
+	return e.Serve(ctx, d, strings.NewReader(""), discardSink{})
 }
 
-// TestTransportNeverRepeats has the endpoint break a kept connection under a request: Go's HTTP transport would send a
-// POST with an Idempotency-Key again by itself on a new one.
+// TestTransportNeverRepeats has the endpoint close a kept-alive connection while it handles a request: Go's HTTP
+// transport would by itself send a POST with an Idempotency-Key again on a new connection.
 func TestTransportNeverRepeats(t *testing.T) {
 	var began atomic.Int64
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -79,7 +79,7 @@
 			go func() {
 				defer func() { _ = c.Close() }()
 				in := bufio.NewReader(c)
-				// The first request of each connection is answered, the second is taken and dropped.
+				// The first request of each connection is answered; the second is read and dropped.
 				for range 2 {
 					req, err := http.ReadRequest(in)
 					if err != nil {
@@ -93,7 +93,7 @@
 			}()
 		}
 	}()
-	e := at(t, l.Addr().String(), table.Active)
+	e := newTestEgress(t, l.Addr().String(), table.Active)
 	if end := serve(t, e, payment()); end.GetOutcome() != peerpb.Outcome_OUTCOME_RAN {
 		t.Fatalf("first: got %v, want it to run", end)
 	}
@@ -106,14 +106,15 @@
 	}
 }
 
-// TestDrainingIsRefused checks that the egress refuses a draining endpoint's work whatever the ingress believes.
+// TestDrainingIsRefused checks that the egress refuses requests for a draining endpoint whatever the ingress's view
+// is.
 func TestDrainingIsRefused(t *testing.T) {
 	var began atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { began.Add(1) }))
 	t.Cleanup(server.Close)
 	address := strings.TrimPrefix(server.URL, "http://")
 	for _, phase := range []table.Phase{table.Draining, table.Retired} {
-		end := serve(t, at(t, address, phase), payment())
+		end := serve(t, newTestEgress(t, address, phase), payment())
 		if got, want := end.GetCode(), string(fault.Draining); got != want || end.GetOutcome() != peerpb.Outcome_OUTCOME_NOT_RUN {
 			t.Errorf("%v: got %v, want not run, %s", phase, end, want)
 		}
@@ -123,35 +124,37 @@
 	}
 	other := payment()
 	other.Endpoint = "elsewhere"
-	if got, want := serve(t, at(t, address, table.Active), other).GetCode(), string(fault.WrongHost); got != want {
+	if got, want := serve(t, newTestEgress(t, address, table.Active), other).GetCode(), string(fault.WrongHost); got != want {
 		t.Errorf("endpoint of another host: got %q, want %q", got, want)
 	}
 }
 
-// TestLeavingIsBelieved checks that an endpoint's own word keeps new work from it.
-func TestLeavingIsBelieved(t *testing.T) {
+// TestReportedDrainStopsNewRequests checks that an endpoint gets no new requests once it has reported that it is
+// draining.
+func TestReportedDrainStopsNewRequests(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(header.Leaving, "yes")
 	}))
 	t.Cleanup(server.Close)
-	e := at(t, strings.TrimPrefix(server.URL, "http://"), table.Active)
+	e := newTestEgress(t, strings.TrimPrefix(server.URL, "http://"), table.Active)
 	if end := serve(t, e, payment()); end.GetOutcome() != peerpb.Outcome_OUTCOME_RAN {
 		t.Fatalf("first: got %v, want it to run", end)
 	}
 	if got, want := serve(t, e, payment()).GetCode(), string(fault.Draining); got != want {
-		t.Errorf("after its word: got %q, want %q", got, want)
+		t.Errorf("after its report: got %q, want %q", got, want)
 	}
 }
 
-// TestUnreachableWasNotRun checks that an endpoint that takes no connection is told as not run.
-func TestUnreachableWasNotRun(t *testing.T) {
+// TestUnreachableIsReportedNotRun checks that a request to an endpoint that accepts no connection is reported as not
+// run.
+func TestUnreachableIsReportedNotRun(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	address := l.Addr().String()
 	_ = l.Close()
-	end := serve(t, at(t, address, table.Active), payment())
+	end := serve(t, newTestEgress(t, address, table.Active), payment())
 	if got, want := end.GetOutcome(), peerpb.Outcome_OUTCOME_NOT_RUN; got != want {
 		t.Errorf("outcome: got %v, want %v", got, want)
 	}
--- a/egress/stale.go
+++ b/egress/stale.go
@@ -8,40 +8,42 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// seenConfig remembers the newest configuration by which a request has come, of the operators' rows and of the platform's
-// configuration: this node may itself be behind it.
-type seenConfig struct {
+// seenRevisions remembers the newest revisions by which requests were routed that arrived here, of the operators'
+// rows and of the platform's configuration. This node's own table may be older.
+type seenRevisions struct {
 	newest [table.PlaneConfig + 1]atomic.Uint64
 }
 
-// stale tells whether a request was sent by an older configuration than this node holds or has served, and its route may
-// have changed since: a configuration that this node went past without seeing it tells nothing of that. While the node is
-// behind what it has served it cannot tell, and takes nothing older; its peers bring it up to date within a heartbeat or two.
+// stale reports whether a request was routed by an older configuration than this node holds or has served, and its
+// route may have changed since. A revision that this node skipped cannot be compared, so it counts as stale. While
+// the node's own table is behind what it has served it cannot compare at all and accepts nothing older; its peers
+// bring it up to date within a heartbeat or two.
 //
-// Invariant: once a request of a newer configuration was served here, none goes by an older one to where only that
-// would send it.
-func (c *seenConfig) stale(s *table.State, d *peerpb.Dispatch) bool {
+// Invariant: once a request of a newer configuration was served here, no request is dispatched to a destination that
+// only an older configuration allows.
+func (c *seenRevisions) stale(s *table.State, d *peerpb.Dispatch) bool {
 	byConfig := c.staleIn(s, d, table.PlaneConfig, d.GetConfig())
 	byRows := c.staleIn(s, d, table.PlaneRows, d.GetRevision())
 	return byConfig || byRows
 }
 
-// staleIn asks the same of one plane, by whose revision the request was sent; 0 where the sender has none.
-func (c *seenConfig) staleIn(s *table.State, d *peerpb.Dispatch, plane table.Plane, sent uint64) bool {
+// staleIn checks one source; sent is the revision of it by which the request was routed, 0 if the sender has none.
+func (c *seenRevisions) staleIn(s *table.State, d *peerpb.Dispatch, source table.Plane, sent uint64) bool {
 	if sent == 0 {
 		return false
 	}
-	own := s.Revisions()[plane]
-	newest := c.note(plane, max(own, sent))
+	held := s.Revisions()[source]
+	newest := c.raise(source, max(held, sent))
 	if sent >= newest {
 		return false
 	}
-	return own < newest || !s.Knows(plane, sent) || changed(s, d, plane, sent)
+	return held < newest || !s.Knows(source, sent) || rowsChanged(s, d, source, sent)
 }
 
-// logOlder tells of a request that is handed over although it was sent by an older configuration than the newest seen here.
-func (e *Egress) logOlder(d *peerpb.Dispatch) {
-	seen := e.configs.newest[table.PlaneConfig].Load()
+// logOlderConfig logs a request that is dispatched although it was routed by an older configuration than the newest
+// seen here.
+func (e *Egress) logOlderConfig(d *peerpb.Dispatch) {
+	seen := e.seenRevisions.newest[table.PlaneConfig].Load()
 	if d.GetConfig() == 0 || d.GetConfig() >= seen {
 		return
 	}
@@ -50,9 +52,9 @@
 		Uint64("holds", e.state().Revisions()[table.PlaneConfig]).Uint64("seen", seen).Send()
 }
 
-// note raises the newest revision seen of a plane and returns it.
-func (c *seenConfig) note(plane table.Plane, revision uint64) uint64 {
-	newest := &c.newest[plane]
+// raise raises the newest revision seen of a source and returns it.
+func (c *seenRevisions) raise(source table.Plane, revision uint64) uint64 {
+	newest := &c.newest[source]
 	for {
 		old := newest.Load()
 		if revision <= old {
@@ -64,15 +66,16 @@
 	}
 }
 
-// changed tells whether a plane has changed the route or taken it out, or no longer leaves it all that it took, since the
-// revision by which the request came; or the customer whose key it bears, which may have been taken away.
-func changed(s *table.State, d *peerpb.Dispatch, plane table.Plane, since uint64) bool {
+// rowsChanged reports whether, since the revision by which the request was routed, the source has changed or removed
+// the route or given a part of its paths to another route, or has changed or removed the customer whose key the
+// request bears.
+func rowsChanged(s *table.State, d *peerpb.Dispatch, source table.Plane, since uint64) bool {
 	row, ok := s.Route(d.GetRoute())
-	return !ok || row.Plane == plane && row.Revision > since || s.Overtaken(row, plane, since) ||
-		d.GetKeyed() && customerChanged(s, d.GetCustomer(), plane, since)
+	return !ok || row.Plane == source && row.Revision > since || s.Overtaken(row, source, since) ||
+		d.GetKeyed() && customerChanged(s, d.GetCustomer(), source, since)
 }
 
-func customerChanged(s *table.State, customer string, plane table.Plane, since uint64) bool {
+func customerChanged(s *table.State, customer string, source table.Plane, since uint64) bool {
 	row, ok := s.Customer(customer)
-	return !ok || row.Plane == plane && row.Revision > since
+	return !ok || row.Plane == source && row.Revision > since
 }
--- a/egress/stale_test.go
+++ b/egress/stale_test.go
@@ -10,26 +10,28 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// The incident: within one life of its process, a node handed a request to an endpoint as only an older configuration allows,
-// half a second after it had served one by a newer. Its check asked whether the row of the request's route had changed since
-// the configuration that the request came by. It had not, as far as that node knew: it had gone past that configuration
-// without seeing it. Nor does the row change when a longer path takes over a part of it. The nodes below proved both.
+// The incident: within one life of its process, a node dispatched a request to an endpoint that only an older
+// configuration allowed, half a second after it had served a request by a newer one. Its check asked whether the row
+// of the request's route had changed since the configuration by which the request was routed. As far as the node knew
+// it had not, because the node had skipped that configuration. Nor does the row change when a route with a longer
+// path takes over a part of its paths. The model below found both faults.
 
-// callersKey is the digest of the key that callers bear, as long as some customer holds it.
-var callersKey = table.DigestKey("k1")
+// callerKeyDigest is the digest of the key that callers send, as long as some customer holds it.
+var callerKeyDigest = table.DigestKey("k1")
 
-// paths are what callers ask for; the routes are drawn so that the longer path is a route of its own in some configurations.
+// paths are the paths of requests. The routes are drawn so that the longer path has a route of its own in some
+// configurations.
 var paths = []string{"/a/1", "/a/b/1"}
 
-// drawRoutes returns the rows of a plane at a version of it.
-func drawRoutes(t *rapid.T, plane table.Plane, version uint64) []table.Row {
+// drawRoutes returns the rows of a source at a version of it.
+func drawRoutes(t *rapid.T, source table.Plane, version uint64) []table.Row {
 	var rows []table.Row
 	add := func(kind table.Kind, key string, cells ...string) {
 		row, err := table.NewRow(kind, key, cells)
 		if err != nil {
 			t.Fatal(err)
 		}
-		row.Meta = table.Meta{Revision: version, Plane: plane}
+		row.Meta = table.Meta{Revision: version, Plane: source}
 		rows = append(rows, row)
 	}
 	add(table.KindService, "x")
@@ -45,21 +47,21 @@
 	return rows
 }
 
-// fleetNode is a node's view of one plane of the table and what it has seen of newer versions of it.
+// fleetNode is a node's view of one source of the table, and the newest version of it that the node has seen.
 type fleetNode struct {
-	plane table.Plane
-	state *table.State
-	seen  *seenConfig
-	// told are answers of other nodes that are under way, offers requests that wait here.
-	told   []table.Delta
-	offers []*peerpb.Dispatch
+	source table.Plane
+	state  *table.State
+	seen   *seenRevisions
+	// replies are other nodes' answers that have not arrived yet; offers are requests that wait on this node.
+	replies []table.Delta
+	offers  []*peerpb.Dispatch
 }
 
-func newFleetNode(plane table.Plane) *fleetNode {
-	return &fleetNode{plane: plane, state: table.NewState(), seen: &seenConfig{}}
+func newFleetNode(source table.Plane) *fleetNode {
+	return &fleetNode{source: source, state: table.NewState(), seen: &seenRevisions{}}
 }
 
-func (n *fleetNode) version() uint64 { return n.state.Revisions()[n.plane] }
+func (n *fleetNode) version() uint64 { return n.state.Revisions()[n.source] }
 
 func (n *fleetNode) take(d table.Delta) {
 	if next, err := n.state.With(d); err == nil {
@@ -67,17 +69,17 @@
 	}
 }
 
-// dispatch is a request as the node sends it by its view; nil where that has no route for it.
+// dispatch returns a request as the node sends it by its view, nil if that has no route for it.
 func (n *fleetNode) dispatch(path string) *peerpb.Dispatch {
 	r, ok := n.state.Match("h", path)
 	if !ok {
 		return nil
 	}
 	d := &peerpb.Dispatch{Route: r.Key, Service: r.Value.Service, Target: path}
-	if holder, ok := n.state.Holder(callersKey); ok {
+	if holder, ok := n.state.Holder(callerKeyDigest); ok {
 		d.Customer, d.Keyed = holder.Key, true
 	}
-	if n.plane == table.PlaneConfig {
+	if n.source == table.PlaneConfig {
 		d.Config = n.version()
 	} else {
 		d.Revision = n.version()
@@ -85,48 +87,48 @@
 	return d
 }
 
-// read brings the node to a version of the plane as it finds it in the store: a whole configuration, of which the store knows
-// no other, or the operators' rows, which carry the revisions of their changes.
+// read updates the node to a version of the source from the store: either the whole configuration, where the store
+// has one version only, or the operators' rows, which carry the revisions of their changes.
 func (n *fleetNode) read(whole *table.State, rows []table.Row) {
-	if n.plane == table.PlaneConfig {
-		n.take(n.state.Read(n.plane, whole.Revisions()[n.plane], rows))
+	if n.source == table.PlaneConfig {
+		n.take(n.state.Read(n.source, whole.Revisions()[n.source], rows))
 	} else {
-		n.take(whole.Between(n.plane, n.version()))
+		n.take(whole.Between(n.source, n.version()))
 	}
 }
 
-// TestNothingGoesByAnOlderConfiguration checks that once a node has held a configuration, or served a request by it, it hands
-// over no request to a service to which only older ones would send it, nor one with a key that only older ones hold, in whatever order configurations and requests reach
-// it, however long these wait, and whoever is started anew meanwhile; of the platform's configuration and of the operators'
-// own rows.
-func TestNothingGoesByAnOlderConfiguration(t *testing.T) {
-	for _, plane := range []table.Plane{table.PlaneConfig, table.PlaneRows} {
-		t.Run(plane.String(), func(t *testing.T) { nothingGoesByAnOlder(t, plane) })
+// TestOlderConfigurationIsNeverServed checks that once a node has held a configuration, or served a request by it, it
+// dispatches no request to a service that only older configurations allow, nor one with a key that only older ones
+// know. This must hold in whatever order configurations and requests arrive, however long these wait, whichever nodes
+// restart meanwhile, and both for the platform's configuration and for the operators' rows.
+func TestOlderConfigurationIsNeverServed(t *testing.T) {
+	for _, source := range []table.Plane{table.PlaneConfig, table.PlaneRows} {
+		t.Run(source.String(), func(t *testing.T) { checkOlderIsNeverServed(t, source) })
 	}
 }
 
-func nothingGoesByAnOlder(t *testing.T, plane table.Plane) {
+func checkOlderIsNeverServed(t *testing.T, source table.Plane) {
 	rapid.Check(t, func(t *rapid.T) {
 		var history []*table.State
 		newest := func() uint64 { return uint64(len(history)) }
-		nodes := []*fleetNode{newFleetNode(plane), newFleetNode(plane), newFleetNode(plane)}
+		nodes := []*fleetNode{newFleetNode(source), newFleetNode(source), newFleetNode(source)}
 		node := func(what string) *fleetNode { return rapid.SampledFrom(nodes).Draw(t, what) }
 		var rows []table.Row
 		allowed := func(d *peerpb.Dispatch, from uint64) bool {
 			return slices.ContainsFunc(history[from-1:], func(s *table.State) bool {
 				r, ok := s.Match("h", d.GetTarget())
-				_, held := s.Holder(callersKey)
+				_, held := s.Holder(callerKeyDigest)
 				return ok && r.Value.Service == d.GetService() && (held || !d.GetKeyed())
 			})
 		}
 		actions := []func(){
 			func() { // The operators write.
-				rows = drawRoutes(t, plane, newest()+1)
+				rows = drawRoutes(t, source, newest()+1)
 				last := table.NewState()
 				if newest() > 0 {
 					last = history[newest()-1]
 				}
-				whole, err := last.With(last.Read(plane, newest()+1, rows))
+				whole, err := last.With(last.Read(source, newest()+1, rows))
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -137,24 +139,24 @@
 					n.read(history[newest()-1], rows)
 				}
 			},
-			func() { // A node asks another for what it lacks.
+			func() { // A node asks another one for the changes that it lacks.
 				if n, other := node("asker"), node("asked"); other.version() > n.version() {
-					n.told = append(n.told, other.state.Between(plane, n.version()))
+					n.replies = append(n.replies, other.state.Between(source, n.version()))
 				}
 			},
-			func() { // It gets the oldest answer that is under way.
-				if n := node("asker"); len(n.told) > 0 {
-					n.take(n.told[0])
-					n.told = n.told[1:]
+			func() { // A node receives the oldest reply to it.
+				if n := node("asker"); len(n.replies) > 0 {
+					n.take(n.replies[0])
+					n.replies = n.replies[1:]
 				}
 			},
-			func() { // A node sends a request, which waits at another.
+			func() { // A node sends a request, which waits on another one.
 				to := node("receiver")
 				if d := node("sender").dispatch(rapid.SampledFrom(paths).Draw(t, "path")); d != nil {
 					to.offers = append(to.offers, d)
 				}
 			},
-			func() { // A request that waits is to be handed over.
+			func() { // A waiting request is dispatched unless it is stale.
 				n := node("receiver")
 				if len(n.offers) == 0 {
 					return
@@ -162,14 +164,14 @@
 				i := rapid.IntRange(0, len(n.offers)-1).Draw(t, "request")
 				d := n.offers[i]
 				n.offers = slices.Delete(n.offers, i, i+1)
-				known := max(n.version(), n.seen.newest[plane].Load())
+				known := max(n.version(), n.seen.newest[source].Load())
 				if !n.seen.stale(n.state, d) && known > 0 && !allowed(d, known) {
 					t.Fatalf("request of %s by %d to %s at a node that has seen %d: got served, want refused",
 						d.GetTarget(), max(d.GetConfig(), d.GetRevision()), d.GetService(), known)
 				}
 			},
-			func() { // A node is started anew.
-				*node("restarted") = *newFleetNode(plane)
+			func() { // A node restarts.
+				*node("restarted") = *newFleetNode(source)
 			},
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
--- a/egress/stall.go
+++ b/egress/stall.go
@@ -5,43 +5,46 @@
 	"time"
 )
 
-// stallPart is the part of an endpoint's slots, as one in so many, that callers who do not read may hold while nobody else wants one; who
-// comes next finds the others free.
-const stallPart = 4
+// stalledSlotsDivisor limits how many of an endpoint's slots callers who do not read may hold while no other request
+// wants one: the slots divided by it. New requests then find the other slots free.
+const stalledSlotsDivisor = 4
 
-// stall is a run that holds a slot only because its caller does not read; wanted is told once when another request wants the slot.
+// stall is a run that holds a slot only because its caller does not read. wanted receives once, when another request
+// wants the slot.
 type stall struct {
 	id     uint64
 	wanted chan struct{}
 }
 
-// alive notes that a part of the answer to some work has come.
-func (l *local) alive(id uint64) {
+// noteProgress records that a part of a request's answer has arrived.
+func (l *localEndpoint) noteProgress(id uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.watch.Alive(time.Now(), id)
+	l.monitor.Alive(time.Now(), id)
 }
 
-// holdUp notes that the endpoint waits for the caller of some work, until over: that time says nothing of it.
-func (l *local) holdUp(id uint64) (wanted <-chan struct{}, over func()) {
+// noteStall records that the endpoint waits for a request's caller until over is called; that time says nothing about
+// the endpoint.
+func (l *localEndpoint) noteStall(id uint64) (wanted <-chan struct{}, over func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.watch.Hold(time.Now(), id)
+	l.monitor.Hold(time.Now(), id)
 	s := stall{id: id, wanted: make(chan struct{}, 1)}
 	l.stalls = append(l.stalls, s)
-	if l.queue.Waiting() > 0 || len(l.stalls) > max(1, l.slots/stallPart) {
-		l.press()
+	if l.queue.Waiting() > 0 || len(l.stalls) > max(1, l.slots/stalledSlotsDivisor) {
+		l.reclaimStalledSlot()
 	}
 	return s.wanted, func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		l.stalls = slices.DeleteFunc(l.stalls, func(o stall) bool { return o.id == id })
-		l.watch.Resume(time.Now(), id)
+		l.monitor.Resume(time.Now(), id)
 	}
 }
 
-// press asks the run that has waited longest for its caller to give its slot to a request that has found none; the lock is held.
-func (l *local) press() {
+// reclaimStalledSlot asks the run that has waited longest for its caller to give its slot to a request that found
+// none free; the lock must be held.
+func (l *localEndpoint) reclaimStalledSlot() {
 	if len(l.stalls) == 0 {
 		return
 	}
--- a/egress/status.go
+++ b/egress/status.go
@@ -1,6 +1,6 @@
 package egress
 
-// Status is what the egress knows of one endpoint.
+// Status is the state of one endpoint as the egress knows it. In the JSON, an endpoint that drains is "leaving".
 type Status struct {
 	// Endpoint is the endpoint's key.
 	Endpoint string `json:"endpoint"`
@@ -8,33 +8,33 @@
 	Busy int `json:"busy"`
 	// Waiting is the number of queued requests.
 	Waiting int `json:"waiting"`
-	// Finished counts the requests that ran, since the node started.
+	// Finished counts the requests that ran since the node started.
 	Finished uint64 `json:"finished"`
 	// Failed counts those of them that failed.
 	Failed uint64 `json:"failed"`
-	// Leaving is set after the endpoint said so itself.
+	// Draining is set after the endpoint itself reported that it is draining.
 	Draining bool `json:"leaving"`
-	// Trial is set while it takes only trials.
+	// Trial is set while its breaker lets only trials through.
 	Trial bool `json:"trial"`
-	// Arrivals is what was handed to it since the node started.
+	// Arrivals counts what was dispatched to it since the node started.
 	Arrivals Arrivals `json:"arrivals"`
 }
 
-// Statuses returns the endpoints that have had work since the node started.
+// Statuses returns the state of every endpoint that the egress has had since the node started.
 func (e *Egress) Statuses() []Status {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	out := make([]Status, 0, len(e.locals))
-	for _, l := range e.locals {
-		load := l.load(0, 0)
+	out := make([]Status, 0, len(e.endpoints))
+	for _, l := range e.endpoints {
+		load := l.loadReport(0, 0)
 		out = append(out, Status{
 			Endpoint: l.key, Busy: int(load.GetBusy()), Waiting: int(load.GetQueued()),
 			Finished: load.GetFinished(), Failed: load.GetFailed(), Draining: load.GetLeaving(), Trial: load.GetTrial(),
-			Arrivals: l.handed(),
+			Arrivals: l.arrivalCounts(),
 		})
 	}
 	return out
 }
 
-// Keys returns the number of idempotency keys at home here.
+// KeyCount returns the number of idempotency keys recorded on this node.
 func (e *Egress) KeyCount() int { return e.keys.len() }
--- a/egress/suspended_test.go
+++ b/egress/suspended_test.go
@@ -8,26 +8,26 @@
 	"github.com/lynxplank/lynxplank/clock"
 )
 
-// TestSuspendedHostGivesNoMoreTime has the host suspended while a request waits for a slot. Its deadline counts by a clock that stands
-// still meanwhile: the endpoint was told of time that its caller had no longer.
-func TestSuspendedHostGivesNoMoreTime(t *testing.T) {
+// TestSuspensionShortensDeadline suspends the host while a request waits for a slot. The request's deadline counts by
+// a clock that stands still meanwhile, and the endpoint was told of time that the caller no longer had.
+func TestSuspensionShortensDeadline(t *testing.T) {
 	const suspended = 3 * time.Second
 	lost := time.Duration(0)
 	c := clock.Clock(func() time.Time { return time.Now().Add(lost) })
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
 	watch := c.Begin()
-	same, done := withoutSuspended(ctx, watch)
+	same, done := subtractSuspension(ctx, watch)
 	defer done()
 	if same != ctx {
-		t.Error("deadline of a request on a host that runs: got another, want the same")
+		t.Error("deadline of a request on a running host: got another, want the same")
 	}
 	lost = suspended
-	next, done := withoutSuspended(ctx, watch)
+	next, done := subtractSuspension(ctx, watch)
 	defer done()
 	was, _ := ctx.Deadline()
 	is, _ := next.Deadline()
 	if got, want := was.Sub(is).Round(100*time.Millisecond), suspended; got != want {
-		t.Errorf("deadline brought forward by: got %v, want %v", got, want)
+		t.Errorf("deadline moved forward by: got %v, want %v", got, want)
 	}
 }
--- a/egress/work.go
+++ b/egress/work.go
@@ -10,92 +10,95 @@
 	"github.com/lynxplank/lynxplank/peer"
 )
 
-// runAt runs a request that holds a slot, tells the breaker and the records how it went, and frees the slot.
+// runAt runs a request that holds a slot, stores its answer if the sender may fetch it again, and frees the slot.
 func (e *Egress) runAt(
-	ctx context.Context, l *local, d *peerpb.Dispatch, body io.Reader, sink peer.Sink, trial bool,
+	ctx context.Context, l *localEndpoint, d *peerpb.Dispatch, body io.Reader, sink peer.Sink, trial bool,
 ) *peerpb.End {
 	if d.GetClaim() != nil {
 		var cancel context.CancelFunc
 		ctx, cancel = detach(ctx)
 		defer cancel()
 	}
-	recording := &recordingSink{Sink: sink, hold: e.budget.Hold(d.GetCustomer())}
-	_, kept := sink.(peer.Permitter)
-	if kept {
+	recording := &storingSink{Sink: sink, hold: e.budget.Hold(d.GetCustomer())}
+	_, stored := sink.(peer.Permitter)
+	if stored {
 		sink = recording
 	}
-	w := &work{e: e, l: l, d: d, trial: trial, start: time.Now(), id: e.nextID.Add(1)}
-	e.begin(l, w.start, w.id, d, sink, trial)
-	e.working.Begin(d.GetRequestId(), d.GetRepeat())
+	run := &endpointRun{e: e, l: l, d: d, trial: trial, start: time.Now(), id: e.nextID.Add(1)}
+	e.startMonitoring(l, run.start, run.id, d, sink, trial)
+	e.running.Begin(d.GetRequestId(), d.GetRepeat())
 	hold := e.budget.Hold(d.GetCustomer())
 	defer hold.Free()
-	result := l.run(ctx, d, body, handling{sink: sink, hold: hold, alive: w.alive, holdUp: w.holdUp, ended: w.ended})
-	result.end.Load = l.load(w.service, e.cfg.Incarnation)
-	if kept {
+	result := l.run(ctx, d, body, answerHooks{sink: sink, hold: hold, onProgress: run.noteProgress, onStall: run.noteStall, onDone: run.done})
+	result.end.Load = l.loadReport(run.serviceTime, e.cfg.Incarnation)
+	if stored {
 		result.end.Revision = e.state().Revision()
-		e.records.finish(d.GetExchange(), recording, result.end)
+		e.answers.finish(d.GetExchange(), recording, result.end)
 	}
 	return result.end
 }
 
-// work is one run at an endpoint.
-type work struct {
+// endpointRun is one run of a request at an endpoint.
+type endpointRun struct {
 	e     *Egress
-	l     *local
+	l     *localEndpoint
 	d     *peerpb.Dispatch
 	trial bool
-	// start is when it began, id names it to the watch.
+	// start is when the run began; id identifies it for the in-flight monitor.
 	start time.Time
 	id    uint64
-	// service is how long the endpoint took, once that is known.
-	service time.Duration
+	// serviceTime is how long the endpoint took, set when the run is done.
+	serviceTime time.Duration
 }
 
-func (w *work) alive() { w.l.alive(w.id) }
+func (run *endpointRun) noteProgress() { run.l.noteProgress(run.id) }
 
-func (w *work) holdUp() (wanted <-chan struct{}, over func()) { return w.l.holdUp(w.id) }
+func (run *endpointRun) noteStall() (wanted <-chan struct{}, over func()) {
+	return run.l.noteStall(run.id)
+}
 
-// ended frees the slot and tells everybody how the run went, once the endpoint is done with it.
-func (w *work) ended(r result) {
-	e, l, d := w.e, w.l, w.d
-	e.working.End(d.GetRequestId(), d.GetRepeat())
-	w.service = time.Since(w.start) - r.held
-	l.release(w.id, w.service, r, d, w.trial)
+// done frees the slot and reports the result to everything that depends on it, as soon as the endpoint is done.
+func (run *endpointRun) done(r result) {
+	e, l, d := run.e, run.l, run.d
+	e.running.End(d.GetRequestId(), d.GetRepeat())
+	run.serviceTime = time.Since(run.start) - r.stalledFor
+	l.finishRun(run.id, run.serviceTime, r, d, run.trial)
 	if r.cause != nil {
-		e.logFailure(l, d, r, w.service, w.trial)
+		e.logFailure(l, d, r, run.serviceTime, run.trial)
 	}
-	e.noteState(l)
-	e.noteLeaving(l, r.leaving)
+	e.logBreakerChange(l)
+	e.noteDraining(l, r.draining)
 	if r.unreachable {
-		// What stands there next has just started.
-		l.mayBeCold()
+		// The process that takes its place will have just started.
+		l.notePossiblyCold()
 	}
-	if r.ranWell() {
-		e.endings.Ran(contentOf(d))
+	if r.succeeded() {
+		e.crashes.Ran(fingerprintOf(d))
 	}
-	if r.brokenAtWork() {
-		r.end.Ended = e.noteBroken(l, brokenWork{request: d.GetRequestId(), content: contentOf(d), began: w.start, at: w.start.Add(w.service)})
+	if r.brokenWhileRunning() {
+		r.end.Ended = e.noteBrokenRequest(l,
+			brokenRequest{request: d.GetRequestId(), fingerprint: fingerprintOf(d), startedAt: run.start, brokeAt: run.start.Add(run.serviceTime)})
 	}
 }
 
-// logFailure tells why the endpoint's work has no whole answer.
-func (e *Egress) logFailure(l *local, d *peerpb.Dispatch, r result, service time.Duration, trial bool) {
+// logFailure logs why there is no complete answer from the endpoint.
+func (e *Egress) logFailure(l *localEndpoint, d *peerpb.Dispatch, r result, service time.Duration, trial bool) {
 	events.WorkFailed.Log(e.log).Str("request", d.GetRequestId()).Str("endpoint", l.key).
 		Str("outcome", r.end.GetOutcome().String()).Str("code", r.end.GetCode()).
-		Stringer("content", contentOf(d)).Dur("after", service).Bool("trial", trial).
-		Bool("last_resort", d.GetLastResort()).Any("said", l.said.Load()).Uint32("busy", l.load(0, 0).GetBusy()).
+		Stringer("content", fingerprintOf(d)).Dur("after", service).Bool("trial", trial).
+		Bool("last_resort", d.GetLastResort()).Any("said", l.reportedLoad.Load()).Uint32("busy", l.loadReport(0, 0).GetBusy()).
 		Err(r.cause).Send()
 }
 
-// noteState logs when the breaker of an endpoint has opened or closed.
-func (e *Egress) noteState(l *local) {
-	if from, to, changed := l.stateChange(); changed {
+// logBreakerChange logs when the breaker of an endpoint has opened or closed.
+func (e *Egress) logBreakerChange(l *localEndpoint) {
+	if from, to, changed := l.breakerChange(); changed {
 		events.BreakerChanged.Log(e.log).Str("endpoint", l.key).Str("from", from.String()).Str("to", to.String()).Send()
 	}
 }
 
-// detach keeps the deadline but not the cancellation: a keyed request runs on when its caller is gone, so that the
-// re-send finds an answer and not an unknown fate.
+// detach keeps the deadline but not the cancellation: a request with a key goes on when its caller is gone, so that
+// the caller's resend finds an answer rather than an unknown outcome.
 func detach(ctx context.Context) (context.Context, context.CancelFunc) {
 	deadline, ok := ctx.Deadline()
 	if !ok {
--- a/egress/nothere_test.go
+++ b/egress/wronghost_test.go
@@ -12,9 +12,9 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// TestRefusalNamesWhatStandsHere asks a node for an endpoint that it does not know: the refusal names the one of the same service
-// that has announced itself, and none that leaves or is of another service.
-func TestRefusalNamesWhatStandsHere(t *testing.T) {
+// TestWrongHostRefusalNamesLocalEndpoint sends a request for an endpoint that the node does not know: the refusal
+// names the endpoint of the same service that has announced itself, but none that is draining or of another service.
+func TestWrongHostRefusalNamesLocalEndpoint(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		beat registry.Beat
@@ -30,11 +30,11 @@
 			if err := r.Beat(c.beat); err != nil {
 				t.Fatal(err)
 			}
-			e := at(t, "127.0.0.1:1", table.Active)
+			e := newTestEgress(t, "127.0.0.1:1", table.Active)
 			e.announced = r
 			end := e.Serve(t.Context(), &peerpb.Dispatch{
 				Endpoint: "old", Service: "desk", BudgetMicros: 1e6, Exchange: 1,
-			}, strings.NewReader(""), &discard{})
+			}, strings.NewReader(""), &discardSink{})
 			if got, want := end.GetCode(), string(fault.WrongHost); got != want {
 				t.Errorf("code: got %q, want %q", got, want)
 			}
