--- a/announce/announcer.go
+++ b/announce/announcer.go
@@ -161,7 +161,7 @@
 		if !sleep(ctx, gather) {
 			return
 		}
-		failing := retry.Backoff{First: a.cfg.Retry, Most: a.cfg.RetryMost}
+		failing := retry.Backoff{Initial: a.cfg.Retry, Max: a.cfg.RetryMost}
 		for a.write(ctx) != nil {
 			if !sleep(ctx, failing.Next()) {
 				return
--- a/configsync/read.go
+++ b/configsync/read.go
@@ -84,7 +84,7 @@
 func (f *Follower) readOwn(ctx context.Context) {
 	r := &ownReader{
 		f: f, rows: changes.NewReader(f.platform, changes.WithBad(f.leaveOut)), state: table.NewState(), fatals: newRowPlane(table.PlaneFatal),
-		failing: retry.Backoff{First: f.cfg.Retry, Most: f.cfg.RetryMost},
+		failing: retry.Backoff{Initial: f.cfg.Retry, Max: f.cfg.RetryMost},
 	}
 	for {
 		wait := f.cfg.Retry
@@ -143,7 +143,7 @@
 		switch {
 		case strings.HasPrefix(rec.Key, HostPrefix):
 			r.noteHost(rec)
-		case strings.HasPrefix(rec.Key, poison.Prefix):
+		case strings.HasPrefix(rec.Key, poison.KeyPrefix):
 			fatals = append(fatals, rec)
 		default:
 			rows = true
@@ -184,7 +184,7 @@
 		}
 		return
 	}
-	r.f.leftOut.Understood(skipped.Records, rec.Key)
+	r.f.leftOut.Decoded(skipped.Records, rec.Key)
 	h.Version = rec.Version
 	r.hosts[id] = h
 }
--- a/egress/answerbuffer.go
+++ b/egress/answerbuffer.go
@@ -26,7 +26,7 @@
 // a slow caller occupies neither the endpoint's slot nor the endpoint's memory. One goroutine calls put, another one
 // drain.
 type answerBuffer struct {
-	hold *memory.Hold
+	hold *memory.Reservation
 	// onStall is called when the endpoint has to wait for the caller; stalledFor is how long it had to in total.
 	onStall    func() (wanted <-chan struct{}, over func())
 	stalledFor time.Duration
@@ -47,7 +47,7 @@
 	counted bool
 }
 
-func newAnswerBuffer(hold *memory.Hold, onStall func() (wanted <-chan struct{}, over func())) *answerBuffer {
+func newAnswerBuffer(hold *memory.Reservation, onStall func() (wanted <-chan struct{}, over func())) *answerBuffer {
 	return &answerBuffer{hold: hold, onStall: onStall, readable: make(chan struct{}, 1), drained: make(chan struct{}, 1)}
 }
 
@@ -73,7 +73,7 @@
 	check := time.NewTicker(stallCheckInterval)
 	defer check.Stop()
 	for lastRead, reclaim := start, false; ; {
-		freed := s.hold.Freed()
+		freed := s.hold.Released()
 		if taken, err := s.tryPut(b); taken || err != nil {
 			return err
 		}
--- a/egress/answerbuffer_test.go
+++ b/egress/answerbuffer_test.go
@@ -49,11 +49,11 @@
 		var wrong string
 		synctest.Test(t, func(t *testing.T) {
 			b := memory.New(int64(size))
-			hold := b.Hold("others")
+			hold := b.NewReservation("others")
 			hold.Grow(others)
 			wrong = passThrough(t.Context(), b, r, parts)
-			hold.Free()
-			if used := b.Use().Used; wrong == "" && used != 0 {
+			hold.Release()
+			if used := b.Usage().Used; wrong == "" && used != 0 {
 				wrong = fmt.Sprintf("held at the end: got %d bytes, want 0", used)
 			}
 		})
@@ -65,7 +65,7 @@
 
 // passThrough passes an answer in parts to a reader, and returns what was wrong, "" for nothing.
 func passThrough(ctx context.Context, b *memory.Budget, r *slowReader, parts []int) string {
-	s := newAnswerBuffer(b.Hold("c"), ignoreStall)
+	s := newAnswerBuffer(b.NewReservation("c"), ignoreStall)
 	var answer []byte
 	done := make(chan error, 1)
 	go func() {
@@ -114,7 +114,7 @@
 				wanted := make(chan struct{}, 1)
 				timer := time.AfterFunc(c.wanted, func() { wanted <- struct{}{} })
 				defer timer.Stop()
-				s := newAnswerBuffer(memory.New(1).Hold("c"), func() (<-chan struct{}, func()) { return wanted, func() {} })
+				s := newAnswerBuffer(memory.New(1).NewReservation("c"), func() (<-chan struct{}, func()) { return wanted, func() {} })
 				start := time.Now()
 				if err := s.put(t.Context(), make([]byte, 10)); err != nil {
 					t.Fatalf("first part: got %v, want it taken", err)
@@ -134,7 +134,7 @@
 // TestAnswerBufferEndsWithItsCaller checks that a put that waits ends when the caller leaves.
 func TestAnswerBufferEndsWithItsCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newAnswerBuffer(memory.New(1).Hold("c"), ignoreStall)
+		s := newAnswerBuffer(memory.New(1).NewReservation("c"), ignoreStall)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Millisecond)
 		defer cancel()
 		for i, want := range []fault.Code{"", fault.Canceled} {
--- a/egress/answerstore.go
+++ b/egress/answerstore.go
@@ -45,7 +45,7 @@
 	end       *peerpb.End
 	tooBig    bool
 	// hold accounts for the body in the memory budget.
-	hold *memory.Hold
+	hold *memory.Reservation
 }
 
 // answerStore holds the requests that were offered to this node with their answers, so that an ingress whose link
@@ -79,7 +79,7 @@
 		}
 		if r != nil {
 			a.bytes -= len(r.body)
-			r.hold.Free()
+			r.hold.Release()
 			delete(a.byID, id)
 		}
 		a.order = a.order[1:]
@@ -116,7 +116,7 @@
 	defer a.mu.Unlock()
 	r := a.byID[id]
 	if r == nil || r.end != nil {
-		s.hold.Free()
+		s.hold.Release()
 		return
 	}
 	endCopy, _ := proto.Clone(end).(*peerpb.End)
@@ -167,7 +167,7 @@
 // storingSink stores the answer that it passes on. When the link breaks, the endpoint's work goes on.
 type storingSink struct {
 	peer.Sink
-	hold       *memory.Hold
+	hold       *memory.Reservation
 	head       *peerpb.Head
 	body       []byte
 	tooBig     bool
@@ -191,7 +191,7 @@
 func (s *storingSink) Data(b []byte, last bool) error {
 	if !s.tooBig && (len(s.body)+len(b) > maxStoredAnswer || !s.hold.Grow(len(b))) {
 		s.tooBig, s.body = true, nil
-		s.hold.Free()
+		s.hold.Release()
 	}
 	if !s.tooBig {
 		s.body = append(s.body, b...)
--- a/egress/arrivals.go
+++ b/egress/arrivals.go
@@ -60,7 +60,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if d.GetRepeat() {
-		l.retryBudget.Return()
+		l.retryBudget.Refund()
 	}
 }
 
@@ -73,7 +73,7 @@
 		l.arrivals.Retries++
 		return
 	}
-	l.retryBudget.Request(now, l.retryRatio)
+	l.retryBudget.CountRequest(now, l.retryRatio)
 	// A call that an endpoint may have made while it handled a retry is charged, but never refused for it.
 	l.retryBudget.Charge(now, d.GetOfRepeat())
 	l.arrivals.FirstSends++
@@ -99,6 +99,6 @@
 	}
 	events.FurtherSends.Log(log).Str("endpoint", l.key).Str("service", l.service).
 		Uint64("first", a.FirstSends).Uint64("further", a.Retries).Float64("of_further", a.CallsOfRetries).Uint64("spent", a.RetriesRefused).
-		Float64("left", l.retryBudget.Left(now)).Float64("part", l.slackShare).Dur("for", now.Sub(l.arrivals.loggedAt)).Send()
+		Float64("left", l.retryBudget.Remaining(now)).Float64("part", l.slackShare).Dur("for", now.Sub(l.arrivals.loggedAt)).Send()
 	l.arrivals.logged, l.arrivals.loggedAt = l.arrivals.Arrivals, now
 }
--- a/egress/breaker.go
+++ b/egress/breaker.go
@@ -11,13 +11,13 @@
 func (l *localEndpoint) mayTake(now time.Time, d *peerpb.Dispatch) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.breaker.Would(now, d.GetCanary()) || l.takesLastResort(d)
+	return l.breaker.WouldAllow(now, d.GetCanary()) || l.takesLastResort(d)
 }
 
 // takesLastResort reports whether the endpoint accepts a request that no other endpoint takes, although its breaker
 // is open; a request with LikelyOnly is accepted only if it is likely to succeed. The lock must be held.
 func (l *localEndpoint) takesLastResort(d *peerpb.Dispatch) bool {
-	return d.GetLastResort() && (!d.GetLikelyOnly() || l.breaker.Likely())
+	return d.GetLastResort() && (!d.GetLikelyOnly() || l.breaker.LikelyToSucceed())
 }
 
 // allowDispatch is mayTake at the moment of the dispatch. A trial that it starts must end with releaseTrial or
@@ -33,14 +33,14 @@
 func (l *localEndpoint) releaseTrial(trial bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.breaker.Release(trial)
+	l.breaker.CancelTrial(trial)
 }
 
 // breakerRetryAfter returns how long a refused request should wait before it is sent again.
 func (l *localEndpoint) breakerRetryAfter(now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return max(l.breaker.Pause(now), shortRetryAfter)
+	return max(l.breaker.RemainingOutage(now), shortRetryAfter)
 }
 
 // breakerState returns the breaker's current state.
--- a/egress/cold.go
+++ b/egress/cold.go
@@ -62,8 +62,8 @@
 		l.assumeWarmup()
 		return
 	}
-	if r, ok := e.announced.Endpoint(l.key); ok && !r.ToldAt.IsZero() {
-		l.noteColdReport(r.ToldAt, r.ColdUntil)
+	if r, ok := e.announced.Endpoint(l.key); ok && !r.ReportedAt.IsZero() {
+		l.noteColdReport(r.ReportedAt, r.ColdUntil)
 	}
 }
 
@@ -71,7 +71,7 @@
 func (l *localEndpoint) noteColdReport(at, coldUntil time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.coldLimiter.Told(at, coldUntil)
+	l.coldLimiter.Report(at, coldUntil)
 	l.reportsCold = true
 }
 
@@ -80,7 +80,7 @@
 func (l *localEndpoint) assumeWarmup() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.coldLimiter.Told(l.clock(), l.coldUntil)
+	l.coldLimiter.Report(l.clock(), l.coldUntil)
 }
 
 // tryAdmitCold asks the cold-start limiter to admit a request now; if it does not, wait is when to ask again.
@@ -96,7 +96,7 @@
 func (l *localEndpoint) returnColdAdmission() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.coldLimiter.Return(l.clock())
+	l.coldLimiter.Refund(l.clock())
 }
 
 // notePossiblyCold records that the endpoint may have become cold.
@@ -104,7 +104,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock()
-	l.coldLimiter.Doubt(now)
+	l.coldLimiter.MarkPossiblyCold(now)
 	l.coldUntil = now.Add(l.warmup)
 }
 
@@ -114,6 +114,6 @@
 	if !l.reportsCold {
 		return nil
 	}
-	micros := l.coldLimiter.Cold(l.clock()).Microseconds()
+	micros := l.coldLimiter.ColdRemaining(l.clock()).Microseconds()
 	return &micros
 }
--- a/egress/crash.go
+++ b/egress/crash.go
@@ -30,7 +30,7 @@
 // brokenRequest is a request whose answer broke off or never came.
 type brokenRequest struct {
 	request     string
-	fingerprint poison.Content
+	fingerprint poison.Fingerprint
 	// startedAt is when it was dispatched, brokeAt when its answer broke off.
 	startedAt, brokeAt time.Time
 	// verdict receives, once, whether the endpoint has crashed.
@@ -43,8 +43,8 @@
 }
 
 // fingerprintOf returns a request's fingerprint, the zero one if the sender did not send any.
-func fingerprintOf(d *peerpb.Dispatch) poison.Content {
-	c, _ := poison.Read(d.GetContent())
+func fingerprintOf(d *peerpb.Dispatch) poison.Fingerprint {
+	c, _ := poison.FingerprintFromBytes(d.GetContent())
 	return c
 }
 
@@ -150,7 +150,7 @@
 		return
 	}
 	list := zerolog.Arr()
-	fingerprints := make([]poison.Content, 0, len(inFlight))
+	fingerprints := make([]poison.Fingerprint, 0, len(inFlight))
 	for _, b := range inFlight {
 		list.Object(b)
 		fingerprints = append(fingerprints, b.fingerprint)
@@ -175,7 +175,7 @@
 func (e *Egress) isDraining(l *localEndpoint) bool {
 	if e.announced != nil {
 		if r, ok := e.announced.Endpoint(l.key); ok {
-			return r.Leaving
+			return r.Draining
 		}
 	}
 	row, ok := e.state().Endpoint(l.key)
--- a/egress/crash_test.go
+++ b/egress/crash_test.go
@@ -21,24 +21,24 @@
 // fakeCrashTracker records what an egress reports, and knows the number of earlier crashes for some fingerprints.
 type fakeCrashTracker struct {
 	mu       sync.Mutex
-	known    map[poison.Content]int
-	crashed  []poison.Content
-	ran      []poison.Content
+	known    map[poison.Fingerprint]int
+	crashed  []poison.Fingerprint
+	ran      []poison.Fingerprint
 	reported chan struct{}
 }
 
 // Ends implements CrashTracker.
-func (n *fakeCrashTracker) Ends(c poison.Content) int { return n.known[c] }
+func (n *fakeCrashTracker) Ends(c poison.Fingerprint) int { return n.known[c] }
 
 // Ran implements CrashTracker.
-func (n *fakeCrashTracker) Ran(c poison.Content) {
+func (n *fakeCrashTracker) Ran(c poison.Fingerprint) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.ran = append(n.ran, c)
 }
 
 // EndedHere implements CrashTracker.
-func (n *fakeCrashTracker) EndedHere(_, _ string, contents []poison.Content) {
+func (n *fakeCrashTracker) EndedHere(_, _ string, contents []poison.Fingerprint) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.crashed = append(n.crashed, contents...)
@@ -47,15 +47,15 @@
 
 // requestFor returns a repeatable request for a path.
 func requestFor(path string) *peerpb.Dispatch {
-	c := poison.ContentOf("", http.MethodGet, "", path, nil)
+	c := poison.FingerprintOf("", http.MethodGet, "", path, nil)
 	return &peerpb.Dispatch{
 		RequestId: path, Endpoint: "e1", Service: "desk", Method: http.MethodGet, Target: path, Repeatable: true,
 		BudgetMicros: (5 * time.Second).Microseconds(), Content: c[:],
 	}
 }
 
-func fingerprintsOf(paths ...string) []poison.Content {
-	var out []poison.Content
+func fingerprintsOf(paths ...string) []poison.Fingerprint {
+	var out []poison.Fingerprint
 	for _, path := range paths {
 		out = append(out, fingerprintOf(requestFor(path)))
 	}
@@ -133,11 +133,11 @@
 		close(stop)
 		table.Wait()
 		n.mu.Lock()
-		slices.SortFunc(n.crashed, func(a, b poison.Content) int { return strings.Compare(string(a[:]), string(b[:])) })
-		var want []poison.Content
+		slices.SortFunc(n.crashed, func(a, b poison.Fingerprint) int { return strings.Compare(string(a[:]), string(b[:])) })
+		var want []poison.Fingerprint
 		if crashes {
 			want = fingerprintsOf(paths...)
-			slices.SortFunc(want, func(a, b poison.Content) int { return strings.Compare(string(a[:]), string(b[:])) })
+			slices.SortFunc(want, func(a, b poison.Fingerprint) int { return strings.Compare(string(a[:]), string(b[:])) })
 		}
 		if got := n.crashed; !slices.Equal(got, want) {
 			t.Errorf("reported with crashes=%v: got %v, want %v", crashes, got, want)
@@ -202,7 +202,7 @@
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") }))
 	t.Cleanup(server.Close)
 	e, n := egressWithTracker(t, strings.TrimPrefix(server.URL, "http://"), table.Active)
-	n.known = map[poison.Content]int{fingerprintsOf("/deadly")[0]: poison.BarAfter}
+	n.known = map[poison.Fingerprint]int{fingerprintsOf("/deadly")[0]: poison.BlockThreshold}
 	end := serve(t, e, requestFor("/deadly"))
 	if got, want := end.GetCode(), string(fault.FatalRequest); got != want || end.GetOutcome() != peerpb.Outcome_OUTCOME_NOT_RUN {
 		t.Errorf("blocked: got %v, want not run, %s", end, want)
--- a/egress/due.go
+++ b/egress/due.go
@@ -28,7 +28,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	work, target := workOf(d), latencyTarget(d)
-	model := l.latencies.Of(work.Kind, work.Usual)
+	model := l.latencies.For(work.Kind, work.UsualTime)
 	if !model.Known() {
 		return target / unknownDueDivisor
 	}
@@ -45,5 +45,5 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	work := workOf(d)
-	return l.latencies.Of(work.Kind, work.Usual).Quantile(expectedQuantile)
+	return l.latencies.For(work.Kind, work.UsualTime).Quantile(expectedQuantile)
 }
--- a/egress/egress.go
+++ b/egress/egress.go
@@ -49,7 +49,7 @@
 	// Breaker is the policy of the endpoints' circuit breakers.
 	Breaker breaker.Config
 	// Retries is the retry slack that the endpoints of the fleet share.
-	Retries retry.Share
+	Retries retry.FleetSlack
 	// ColdLimit is how far the requests sent to a cold endpoint in one second may exceed the rate that its service
 	// sets for cold endpoints. Its Rate is not used.
 	ColdLimit coldstart.Bound
@@ -98,24 +98,24 @@
 // CrashTracker collects which requests were running when endpoints crashed.
 type CrashTracker interface {
 	// Ends returns how many endpoints crashed while running requests with a fingerprint.
-	Ends(c poison.Content) int
+	Ends(c poison.Fingerprint) int
 	// Ran records that an endpoint ran a request with this fingerprint successfully.
-	Ran(c poison.Content)
+	Ran(c poison.Fingerprint)
 	// EndedHere records that an endpoint crashed while it ran requests with these fingerprints.
-	EndedHere(endpoint, service string, contents []poison.Content)
+	EndedHere(endpoint, service string, contents []poison.Fingerprint)
 }
 
 // noCrashTracker tracks nothing.
 type noCrashTracker struct{}
 
 // Ends implements CrashTracker.
-func (noCrashTracker) Ends(poison.Content) int { return 0 }
+func (noCrashTracker) Ends(poison.Fingerprint) int { return 0 }
 
 // Ran implements CrashTracker.
-func (noCrashTracker) Ran(poison.Content) {}
+func (noCrashTracker) Ran(poison.Fingerprint) {}
 
 // EndedHere implements CrashTracker.
-func (noCrashTracker) EndedHere(string, string, []poison.Content) {}
+func (noCrashTracker) EndedHere(string, string, []poison.Fingerprint) {}
 
 // WithCrashTracker has the egress report crashes of endpoints to t and refuse the requests that t knows to cause
 // them.
@@ -146,7 +146,7 @@
 	}
 	e := &Egress{
 		cfg: cfg, log: log, state: state,
-		keys:      newKeyStore(dedupe.NewHome(cfg.KeyWindow, cfg.KeyBytes), cfg.KeyWindow, cfg.ConvergenceTime),
+		keys:      newKeyStore(dedupe.NewStore(cfg.KeyWindow, cfg.KeyBytes), cfg.KeyWindow, cfg.ConvergenceTime),
 		endpoints: make(map[string]*localEndpoint), answers: newAnswerStore(), pool: upstream.NewPool(), crashes: noCrashTracker{}, clock: clock.Boot,
 		budget: memory.New(defaultBudget),
 	}
@@ -237,10 +237,10 @@
 
 // Work returns the requests in flight at the endpoints beside this node, and those of them for one request, "" for
 // none.
-func (e *Egress) Work(request string) inflight.Work { return e.running.Of(request) }
+func (e *Egress) Work(request string) inflight.Snapshot { return e.running.Snapshot(request) }
 
 // Settle records how a request whose key was claimed here ended at another endpoint.
 func (e *Egress) Settle(msg *peerpb.Settle) {
-	a := dedupe.Answer{Head: msg.GetHead(), Body: msg.GetBody(), Kept: msg.GetHead() != nil}
+	a := dedupe.Answer{Head: msg.GetHead(), Body: msg.GetBody(), Stored: msg.GetHead() != nil}
 	e.keys.settle(time.Now(), msg.GetScope(), msg.GetKey(), msg.GetOutcome(), a)
 }
--- a/egress/find.go
+++ b/egress/find.go
@@ -20,7 +20,7 @@
 		return nil, peer.NotRun(fault.Draining, drainRetryAfter)
 	}
 	// The sender may not know yet that the request is blocked.
-	if e.crashes.Ends(fingerprintOf(d)) >= poison.BarAfter {
+	if e.crashes.Ends(fingerprintOf(d)) >= poison.BlockThreshold {
 		return nil, peer.NotRun(fault.FatalRequest, 0)
 	}
 	if e.seenRevisions.stale(e.state(), d) {
@@ -30,10 +30,10 @@
 		return nil, peer.NotRun(fault.OutOfRegion, shortRetryAfter)
 	}
 	if r, ok := e.announcedEndpoint(d); ok {
-		if r.Leaving {
+		if r.Draining {
 			return nil, peer.NotRun(fault.Draining, drainRetryAfter)
 		}
-		return e.checkOpen(r.Entry, r.Leaving)
+		return e.checkOpen(r.Entry, r.Draining)
 	}
 	if !e.isLocal(d) {
 		return nil, e.wrongHost(d)
@@ -55,7 +55,7 @@
 // its data may be.
 func (e *Egress) dataAllowedHere(d *peerpb.Dispatch) bool {
 	regions := e.allowedRegions(d)
-	if !regions.Bound() {
+	if !regions.IsRestricted() {
 		return true
 	}
 	hallRegion := e.region.Load()
@@ -103,7 +103,7 @@
 func (e *Egress) wrongHost(d *peerpb.Dispatch) *peerpb.End {
 	end := peer.NotRun(fault.WrongHost, shortRetryAfter)
 	if e.announced != nil {
-		if r, ok := e.announced.Of(d.GetService()); ok {
+		if r, ok := e.announced.ActiveEndpoint(d.GetService()); ok {
 			end.Stands = r.Key
 		}
 	}
@@ -119,7 +119,7 @@
 	if l == nil {
 		l = newLocalEndpoint(row, e.cfg, e.clock, e.pool, rand.New(rand.NewPCG(e.cfg.Incarnation, uint64(len(e.endpoints))))) //nolint:gosec // no secret
 		if at := e.hallEvacuatedAt.Load(); at != nil {
-			l.coldLimiter.Doubt(*at)
+			l.coldLimiter.MarkPossiblyCold(*at)
 		}
 		e.endpoints[row.Key] = l
 	}
--- a/egress/hang.go
+++ b/egress/hang.go
@@ -104,8 +104,8 @@
 }
 
 // survival returns the share of usual requests of this kind that take longer than an age; the lock must be held.
-func (l *localEndpoint) survival(w breaker.Work, age time.Duration) float64 {
-	return l.latencies.Of(w.Kind, w.Usual).Survival(age)
+func (l *localEndpoint) survival(w breaker.RequestClass, age time.Duration) float64 {
+	return l.latencies.For(w.Kind, w.UsualTime).Survival(age)
 }
 
 // usualTimeDivisor estimates a request's usual time as its time budget divided by it, where nothing better is known:
@@ -113,12 +113,12 @@
 const usualTimeDivisor = 10
 
 // workOf returns what the in-flight monitor must know of a request: its kind and usual time.
-func workOf(d *peerpb.Dispatch) breaker.Work {
+func workOf(d *peerpb.Dispatch) breaker.RequestClass {
 	usual := d.GetUsualMicros()
 	if usual == 0 {
 		usual = d.GetBudgetMicros() / usualTimeDivisor
 	}
-	return breaker.Work{Kind: d.GetRoute(), Usual: time.Duration(usual) * time.Microsecond}
+	return breaker.RequestClass{Kind: d.GetRoute(), UsualTime: time.Duration(usual) * time.Microsecond}
 }
 
 // resetOnClose resets the in-flight monitor once the breaker has closed; the lock must be held.
@@ -136,14 +136,14 @@
 	defer l.mu.Unlock()
 	if l.trialOverdue(now) {
 		l.trialID = 0
-		l.breaker.Done(now, breaker.Overdue, true)
+		l.breaker.Report(now, breaker.Overdue, true)
 	}
-	if l.monitor.Score(now, l.survival) < openScore || !l.breaker.Suspect(now) {
+	if l.monitor.Score(now, l.survival) < openScore || !l.breaker.ForceOpen(now) {
 		return nil
 	}
 	l.openedByMonitor = true
 	var overdue []peer.Sink
-	for _, id := range l.monitor.Running() {
+	for _, id := range l.monitor.InFlight() {
 		if sink := l.dueSinks[id]; sink != nil {
 			overdue = append(overdue, sink)
 		}
@@ -167,19 +167,19 @@
 	l.monitor.End(now, id, !silent && !r.unanswered && !r.brokenOff)
 	res, known := breakerResult(r, silent, trial)
 	if !known {
-		l.breaker.Release(trial)
+		l.breaker.CancelTrial(trial)
 		return
 	}
 	if res == breaker.OK {
-		l.latencies.Note(d.GetRoute(), service)
+		l.latencies.Observe(d.GetRoute(), service)
 	}
 	if d.GetLastResort() && !trial {
-		l.breaker.LastResort(res)
+		l.breaker.ReportLastResort(res)
 	}
 	before := l.breaker.State()
-	l.breaker.Done(now, res, trial)
+	l.breaker.Report(now, res, trial)
 	if l.openedByMonitor && l.monitor.Score(now, l.survival) < clearScore {
-		l.breaker.Clear(now)
+		l.breaker.ForceClose(now)
 	}
 	l.resetOnClose(before)
 }
--- a/egress/hang_test.go
+++ b/egress/hang_test.go
@@ -72,7 +72,7 @@
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	t.Cleanup(server.Close)
 	e := newTestEgress(t, strings.TrimPrefix(server.URL, "http://"), table.Active)
-	e.cfg.Retries = retry.Share{Slack: 4, Window: time.Nanosecond, Most: 4}
+	e.cfg.Retries = retry.FleetSlack{Slack: 4, Window: time.Nanosecond, MaxShare: 4}
 	retried := lookup()
 	retried.Repeat = true
 	if got, want := serve(t, e, retried).GetOutcome(), peerpb.Outcome_OUTCOME_RAN; got != want {
--- a/egress/hangtiming_test.go
+++ b/egress/hangtiming_test.go
@@ -18,11 +18,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		start := time.Unix(1000, 0)
-		l := &localEndpoint{breaker: breaker.New(breaker.DefaultConfig()), latencies: latency.NewKinds()}
+		l := &localEndpoint{breaker: breaker.New(breaker.DefaultConfig()), latencies: latency.NewModels()}
 		usual := time.Duration(rapid.IntRange(20, 600).Draw(t, "usual ms")) * time.Millisecond
 		for id := range uint64(rapid.IntRange(1, 10).Draw(t, "pieces")) {
 			begun := start.Add(-time.Duration(random.Int64N(int64(usual))))
-			l.monitor.Begin(begun, id+1, breaker.Work{Kind: "r", Usual: usual})
+			l.monitor.Begin(begun, id+1, breaker.RequestClass{Kind: "r", UsualTime: usual})
 		}
 		const maxTime = 5 * time.Second
 		var hangsAt time.Duration
--- a/egress/keys.go
+++ b/egress/keys.go
@@ -19,7 +19,7 @@
 // keyStore guards the node's key records and knows since when the endpoints beside this node have owned a key.
 type keyStore struct {
 	mu      sync.Mutex
-	records *dedupe.Home
+	records *dedupe.Store
 	window  time.Duration
 	// convergence is how long an ingress may act on an older list of endpoints.
 	convergence time.Duration
@@ -42,13 +42,13 @@
 
 // allowedIn returns the endpoints in the regions where a key's data may be.
 func (l endpointList) allowedIn(regions region.Set) []string {
-	if !regions.Bound() {
+	if !regions.IsRestricted() {
 		return l.endpoints
 	}
 	return slices.DeleteFunc(slices.Clone(l.endpoints), func(name string) bool { return !regions.Allows(l.regions[name]) })
 }
 
-func newKeyStore(records *dedupe.Home, window, convergence time.Duration) *keyStore {
+func newKeyStore(records *dedupe.Store, window, convergence time.Duration) *keyStore {
 	return &keyStore{records: records, window: window, convergence: convergence, endpointLists: make(map[string][]endpointList)}
 }
 
@@ -68,7 +68,7 @@
 			from = time.Time{}
 		}
 		list := endpointList{since: from, regions: make(map[string]string, len(v.Endpoints))}
-		list.endpoints = keyowner.Names(v, func(e table.Endpoint) bool { return snap.Listed(e.Host) })
+		list.endpoints = keyowner.Candidates(v, func(e table.Endpoint) bool { return snap.Listed(e.Host) })
 		for _, e := range v.Endpoints {
 			list.regions[e.Key] = snap.RegionOf(e.Value.Hall)
 		}
@@ -134,22 +134,22 @@
 	c := d.GetClaim()
 	id := dedupe.ID{Scope: c.GetScope(), Key: c.GetKey()}
 	fits := func(l endpointList) bool {
-		rank := slices.Index(keyowner.Homes(l.allowedIn(regions), id), d.GetEndpoint())
+		rank := slices.Index(keyowner.Owners(l.allowedIn(regions), id), d.GetEndpoint())
 		// A caller that does not number its attempts asks the first owner only, which must have been the same all
 		// along.
 		return rank == 0 || rank > 0 && c.GetAttempt() > 0
 	}
 	return k.records.Claim(now, dedupe.Claim{
 		ID: id, Attempt: c.GetAttempt(), Fingerprint: c.GetFingerprint(), Fence: c.GetFence(), Vouched: c.GetVouched(),
-		Covered:  sameRegions(c, regions) && k.ownerSince(now.Add(-k.window-k.convergence), d.GetService(), fits),
-		Deadline: now.Add(time.Duration(d.GetBudgetMicros()) * time.Microsecond),
+		CompleteHistory: sameRegions(c, regions) && k.ownerSince(now.Add(-k.window-k.convergence), d.GetService(), fits),
+		Deadline:        now.Add(time.Duration(d.GetBudgetMicros()) * time.Microsecond),
 	})
 }
 
 // sameRegions reports whether the sender of a claim assumed the regions that this node knows of; with others, the key
 // has other owners.
 func sameRegions(c *peerpb.Claim, regions region.Set) bool {
-	return c.GetBound() == regions.Bound() && slices.Equal(c.GetRegions(), regions.Names())
+	return c.GetBound() == regions.IsRestricted() && slices.Equal(c.GetRegions(), regions.Names())
 }
 
 func (k *keyStore) settle(now time.Time, scope, key string, outcome peerpb.Outcome, answer dedupe.Answer) {
@@ -180,7 +180,7 @@
 		return end
 	case dedupe.Mismatch:
 		return peer.NotRun(fault.KeyMismatch, 0)
-	case dedupe.Full, dedupe.Young:
+	case dedupe.Full, dedupe.IncompleteHistory:
 		return peer.NotRun(fault.KeyRefused, drainRetryAfter)
 	case dedupe.Clean:
 		return &peerpb.End{Outcome: peerpb.Outcome_OUTCOME_CLAIMED}
@@ -191,7 +191,7 @@
 
 func replay(a dedupe.Answer, sink peer.Sink) *peerpb.End {
 	end := &peerpb.End{Outcome: peerpb.Outcome_OUTCOME_RAN}
-	if !a.Kept {
+	if !a.Stored {
 		end.Code = string(fault.KeyUnknown)
 		return end
 	}
@@ -224,7 +224,7 @@
 
 // Data implements peer.Sink.
 func (s *replaySink) Data(b []byte, last bool) error {
-	if len(s.body) <= dedupe.KeptBody {
+	if len(s.body) <= dedupe.MaxStoredBody {
 		s.body = append(s.body, b...)
 	}
 	if !s.callerLost {
@@ -237,6 +237,6 @@
 func (s *replaySink) noteError(err error) { s.callerLost = s.callerLost || err != nil }
 
 func (s *replaySink) answer(end *peerpb.End) dedupe.Answer {
-	stored := end.GetComplete() && len(s.body) <= dedupe.KeptBody
-	return dedupe.Answer{Head: s.head, Body: s.body, Kept: stored}
+	stored := end.GetComplete() && len(s.body) <= dedupe.MaxStoredBody
+	return dedupe.Answer{Head: s.head, Body: s.body, Stored: stored}
 }
--- a/egress/keys_test.go
+++ b/egress/keys_test.go
@@ -66,7 +66,7 @@
 
 func (m *model) restart(name string) {
 	o := m.owners[name]
-	o.keys = newKeyStore(dedupe.NewHome(m.window, 1<<20), m.window, m.convergence)
+	o.keys = newKeyStore(dedupe.NewStore(m.window, 1<<20), m.window, m.convergence)
 	o.keys.addList(endpointList{since: m.now, endpoints: m.lists[o.list]}, "desk")
 }
 
@@ -94,7 +94,7 @@
 	if m.first.IsZero() {
 		m.first = m.now
 	}
-	m.sends = append(m.sends, &modelSend{attempt: attempt, owners: keyowner.Homes(m.lists[list], m.id)})
+	m.sends = append(m.sends, &modelSend{attempt: attempt, owners: keyowner.Owners(m.lists[list], m.id)})
 }
 
 // step performs the next step of a send as the ingress does it, see ingress/keyed.go.
@@ -124,7 +124,7 @@
 	case 0:
 		v, ok := m.ask(s, s.owners[0], &peerpb.Claim{}, reachable)
 		m.ran(v, ok)
-		s.done = ok && v != dedupe.Young
+		s.done = ok && v != dedupe.IncompleteHistory
 		s.asked = 3
 		if ok {
 			s.asked = 1
--- a/egress/local.go
+++ b/egress/local.go
@@ -41,7 +41,7 @@
 	mu      sync.Mutex
 	breaker *breaker.Breaker
 	// monitor watches the in-flight requests; trialID is the one of them that is the breaker's trial, 0 for none.
-	monitor breaker.Watch
+	monitor breaker.InflightMonitor
 	trialID uint64
 	// dueSinks are the sinks of in-flight requests whose senders asked to be told when an answer is due.
 	dueSinks map[uint64]peer.Sink
@@ -56,13 +56,13 @@
 	// stalls are the runs that wait for their callers to read, those that have waited longest first.
 	stalls []stall
 	// latencies are the service times of the requests that ended well.
-	latencies *latency.Kinds
+	latencies *latency.Models
 	// retryBudget is the endpoint's share of the fleet's retry budget; retryRatio is what the first send of a request
 	// adds to it.
 	retryBudget *retry.Budget
 	retryRatio  float64
 	// coldLimiter limits the rate while the endpoint is, by clock, cold or possibly cold.
-	coldLimiter *coldstart.Door
+	coldLimiter *coldstart.Limiter
 	clock       clock.Clock
 	// reportsCold is set once the endpoint has reported how long it is cold. Without such a report, it is taken to be
 	// cold for warmup after a start, until coldUntil.
@@ -87,8 +87,8 @@
 		queue:     admission.NewQueue(int(row.Value.Slots), 0, random),
 		waiters:   make(map[uint64]chan admission.Decision),
 		dueSinks:  make(map[uint64]peer.Sink),
-		latencies: latency.NewKinds(), retryBudget: retry.NewBudget(time.Now(), cfg.Retries.Window, cfg.ConvergenceTime),
-		arrivals: arrivals{loggedAt: time.Now()}, coldLimiter: coldstart.NewDoor(c(), cfg.ColdLimit), clock: c,
+		latencies: latency.NewModels(), retryBudget: retry.NewBudget(time.Now(), cfg.Retries.Window, cfg.ConvergenceTime),
+		arrivals: arrivals{loggedAt: time.Now()}, coldLimiter: coldstart.NewLimiter(c(), cfg.ColdLimit), clock: c,
 	}
 }
 
@@ -116,14 +116,14 @@
 }
 
 // slackShareOf returns an endpoint's share of its service's retry slack.
-func slackShareOf(key string, service table.ServiceView, slack retry.Share) float64 {
+func slackShareOf(key string, service table.ServiceView, slack retry.FleetSlack) float64 {
 	n, rank := len(service.Endpoints), 0
 	if n > slack.Holders() {
 		rank, _ = slices.BinarySearchFunc(service.Endpoints, key, func(e table.Entry[table.Endpoint], key string) int {
 			return strings.Compare(e.Key, key)
 		})
 	}
-	return slack.Part(n, rank)
+	return slack.EndpointShare(n, rank)
 }
 
 // waitForSlot returns nil once the request holds a slot, otherwise the refusal.
@@ -132,7 +132,7 @@
 	deadline, _ := ctx.Deadline()
 	r := admission.Request{
 		ID: id, Customer: queueCustomer(d), Weight: float64(customer.Value.Weight), Deadline: deadline,
-		Aim: time.Now().Add(latencyTarget(d)), Priority: int(d.GetPriority()), NoWait: d.GetExchange() != 0 && !d.GetWait(), Work: l.expectedDuration(d),
+		TargetTime: time.Now().Add(latencyTarget(d)), Priority: int(d.GetPriority()), NoWait: d.GetExchange() != 0 && !d.GetWait(), ServiceTime: l.expectedDuration(d),
 	}
 	decided, until, end := l.enqueue(r)
 	if decided == nil {
--- a/egress/offer.go
+++ b/egress/offer.go
@@ -22,7 +22,7 @@
 		return end
 	}
 	e.updateColdReport(l)
-	stopwatch := e.clock.Begin()
+	stopwatch := e.clock.StartStopwatch()
 	trial, end := e.runAdmissionChecks(ctx, l, d, sink)
 	if end != nil {
 		end.Load = l.loadReport(0, e.cfg.Incarnation)
@@ -138,7 +138,7 @@
 	if p.Permit(ctx, l.loadReport(0, e.cfg.Incarnation), due) {
 		// The configuration or the endpoint may have changed while the confirmation was on its way.
 		_, refused := e.find(d)
-		inTime := e.clock.Since(admitted) <= coldstart.SendWithin
+		inTime := e.clock.Since(admitted) <= coldstart.MaxSendDelay
 		if refused == nil && inTime && e.answers.dispatch(id) {
 			return trial, nil
 		}
--- a/egress/run.go
+++ b/egress/run.go
@@ -68,7 +68,7 @@
 type answerHooks struct {
 	sink peer.Sink
 	// hold accounts for what is buffered of the answer while its caller reads slower than the endpoint answers.
-	hold *memory.Hold
+	hold *memory.Reservation
 	// onProgress is called when a part of the answer has arrived.
 	onProgress func()
 	// onStall is called when the endpoint has to wait for the caller; see localEndpoint.noteStall.
--- a/egress/stall.go
+++ b/egress/stall.go
@@ -20,7 +20,7 @@
 func (l *localEndpoint) noteProgress(id uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.monitor.Alive(time.Now(), id)
+	l.monitor.Progress(time.Now(), id)
 }
 
 // noteStall records that the endpoint waits for a request's caller until over is called; that time says nothing about
@@ -28,7 +28,7 @@
 func (l *localEndpoint) noteStall(id uint64) (wanted <-chan struct{}, over func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.monitor.Hold(time.Now(), id)
+	l.monitor.Pause(time.Now(), id)
 	s := stall{id: id, wanted: make(chan struct{}, 1)}
 	l.stalls = append(l.stalls, s)
 	if l.queue.Waiting() > 0 || len(l.stalls) > max(1, l.slots/stalledSlotsDivisor) {
--- a/egress/work.go
+++ b/egress/work.go
@@ -19,7 +19,7 @@
 		ctx, cancel = detach(ctx)
 		defer cancel()
 	}
-	recording := &storingSink{Sink: sink, hold: e.budget.Hold(d.GetCustomer())}
+	recording := &storingSink{Sink: sink, hold: e.budget.NewReservation(d.GetCustomer())}
 	_, stored := sink.(peer.Permitter)
 	if stored {
 		sink = recording
@@ -27,8 +27,8 @@
 	run := &endpointRun{e: e, l: l, d: d, trial: trial, start: time.Now(), id: e.nextID.Add(1)}
 	e.startMonitoring(l, run.start, run.id, d, sink, trial)
 	e.running.Begin(d.GetRequestId(), d.GetRepeat())
-	hold := e.budget.Hold(d.GetCustomer())
-	defer hold.Free()
+	hold := e.budget.NewReservation(d.GetCustomer())
+	defer hold.Release()
 	result := l.run(ctx, d, body, answerHooks{sink: sink, hold: hold, onProgress: run.noteProgress, onStall: run.noteStall, onDone: run.done})
 	result.end.Load = l.loadReport(run.serviceTime, e.cfg.Incarnation)
 	if stored {
--- a/ingress/arrivals_test.go
+++ b/ingress/arrivals_test.go
@@ -68,7 +68,7 @@
 	log := zerolog.Nop()
 	return egress.New(egress.Config{
 		Host: "h1", Contract: c, ProbeInterval: time.Second, KeyWindow: time.Minute, KeyBytes: 1 << 20,
-		Retries: retry.Share{Slack: 30, Window: time.Nanosecond, Most: 10},
+		Retries: retry.FleetSlack{Slack: 30, Window: time.Nanosecond, MaxShare: 10},
 	}, &log, func() *table.State { return s })
 }
 
--- a/node/config.go
+++ b/node/config.go
@@ -100,8 +100,8 @@
 func (n *Node) ejection() eject.Config {
 	c := n.cfg.Ejection
 	cfg := eject.DefaultConfig()
-	cfg.FirstEjection, cfg.LongestEjection, cfg.Forgive = c.First.Std(), c.Longest.Std(), c.Forgive.Std()
-	cfg.ProbeSuccesses, cfg.RampStep = c.Successes, c.RampStep.Std()
+	cfg.BaseEjectionTime, cfg.MaxEjectionTime, cfg.ForgiveInterval = c.First.Std(), c.Longest.Std(), c.Forgive.Std()
+	cfg.TrickleSuccesses, cfg.RampStep = c.Successes, c.RampStep.Std()
 	return cfg
 }
 
@@ -141,11 +141,11 @@
 		Host: n.cfg.Node.ID, Hall: n.cfg.Node.Hall, Incarnation: incarnation, ProbePath: c.ProbePath, ProbeInterval: c.ProbeEvery.Std(),
 		KeyWindow: c.KeyWindow.Std(), ConvergenceTime: c.KeySettle.Std(), KeyBytes: int(c.KeyBytes),
 		Contract: n.contract(), Breaker: breaker.DefaultConfig(),
-		Retries: retry.Share{
+		Retries: retry.FleetSlack{
 			Slack: n.cfg.Retries.Slack * n.cfg.Retries.Use, Window: n.cfg.Retries.Window.Std(),
-			Most: n.cfg.Retries.MostBurst,
+			MaxShare: n.cfg.Retries.MostBurst,
 		},
-		ColdLimit: coldstart.Bound{Over: n.cfg.Cold.Over, Slack: n.cfg.Cold.Slack},
+		ColdLimit: coldstart.Bound{RateFactor: n.cfg.Cold.Over, Slack: n.cfg.Cold.Slack},
 	}
 }
 
@@ -157,7 +157,7 @@
 	c := n.cfg.Limits
 	return ratelimit.Config{
 		Host: n.cfg.Node.ID, Hall: n.cfg.Node.Hall, Policy: ratelimit.Policy(c.Policy), Settle: c.Settle.Std(),
-		Window: c.Window.Std(), Spare: int(c.Slack * spareShare),
+		Window: c.Window.Std(), Fallback: int(c.Slack * spareShare),
 	}
 }
 
--- a/node/restore.go
+++ b/node/restore.go
@@ -50,7 +50,7 @@
 	defer close(r.done)
 	tick := time.NewTicker(restoreEvery)
 	defer tick.Stop()
-	for r.registry.Known() == 0 {
+	for r.registry.Count() == 0 {
 		if snap := r.snapshot(); snap.Ready {
 			r.ask(ctx, snap)
 		}
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -119,7 +119,7 @@
 	egress     *egress.Egress
 	director   *director.Director
 	links      Links
-	limits     *ratelimit.Allowance
+	limits     *ratelimit.Limiter
 	leftOut    *skipped.List
 	metrics    http.Handler
 }
@@ -127,7 +127,7 @@
 // New returns the answers of one node; token must come with every request but that for health.
 func New(
 	node, hall, token string, snapshot func() *configsync.Snapshot, reads func() (own, config bool),
-	e *egress.Egress, d *director.Director, l Links, limits *ratelimit.Allowance, leftOut *skipped.List, metrics http.Handler,
+	e *egress.Egress, d *director.Director, l Links, limits *ratelimit.Limiter, leftOut *skipped.List, metrics http.Handler,
 ) *Operator {
 	return &Operator{
 		node: node, hall: hall, token: token, snapshot: snapshot, reads: reads,
--- a/table/halls.go
+++ b/table/halls.go
@@ -85,5 +85,5 @@
 // RegionsFor returns the regions in which the data of a customer's requests of a route may be; both bind.
 func (s *State) RegionsFor(r Route, customer string) region.Set {
 	c, _ := s.Customer(customer)
-	return region.Any.With(r.Regions.List()).With(c.Value.Regions.List())
+	return region.Any.Intersect(r.Regions.List()).Intersect(c.Value.Regions.List())
 }
