--- a/node/config.go
+++ b/node/config.go
@@ -80,10 +80,10 @@
 func (n *Node) followConfig() configsync.Config {
 	c := configsync.Config{
 		Host: n.cfg.Node.ID, Hall: n.cfg.Node.Hall,
-		Retry: n.cfg.Platform.Retry.Std(), RetryMost: n.cfg.Platform.RetryMost.Std(),
-		Wait: n.cfg.Platform.Wait.Std(), Timeout: n.cfg.Platform.Timeout.Std(),
+		RetryInterval: n.cfg.Platform.Retry.Std(), MaxRetryInterval: n.cfg.Platform.RetryMost.Std(),
+		LongPollTimeout: n.cfg.Platform.Wait.Std(), Timeout: n.cfg.Platform.Timeout.Std(),
 		Readers: n.cfg.Platform.Readers, ConfigReaders: n.cfg.Platform.ConfigReaders,
-		WithConfig: n.cfg.Platform.Config, Policy: n.policy(), Regions: n.cfg.Node.Regions,
+		WithConfig: n.cfg.Platform.Config, ServiceDefaults: n.policy(), Regions: n.cfg.Node.Regions,
 	}
 	for _, seed := range n.cfg.Peers.Seeds {
 		address := seed.AddrPort
