--- a/configsync/activate.go
+++ b/configsync/activate.go
@@ -29,8 +29,8 @@
 }
 
 // apply activates a delta on top of the active state.
-func (f *Follower) apply(d table.Delta) error {
-	next, err := f.State().With(d)
+func (f *Follower) apply(delta table.Delta) error {
+	next, err := f.State().With(delta)
 	if err != nil {
 		return err
 	}
@@ -47,7 +47,7 @@
 	return f.apply(state.Read(table.PlaneConfig, c.Version, c.Rows))
 }
 
-// activateSource brings one source to a state that holds only the rows of that source.
+// activateSource updates one source to a state that holds only the rows of that source.
 func (f *Follower) activateSource(source table.Plane, s *table.State) error {
 	from := f.State().Revisions()[source]
 	if s.Revisions()[source] <= from {
@@ -56,8 +56,8 @@
 	return f.apply(s.Between(source, from))
 }
 
-// activateRead brings a source of separately stored rows to the result of a read that shows the store at version at.
-// The active rows may include one that came from a peer and that this later read does not show any more.
+// activateRead updates a source of separately stored rows to the result of a read; at is the store version that the
+// read shows. The active rows may include one that came from a peer and that this later read does not show any more.
 func (f *Follower) activateRead(source table.Plane, s *table.State, at uint64) error {
 	if d, ok := f.readDelta(source, s, at); ok {
 		return f.apply(d)
--- a/configsync/badlines_test.go
+++ b/configsync/badlines_test.go
@@ -18,7 +18,7 @@
 	announceHost(t, s, "h3", false)
 	named := func(s *Snapshot, id string) bool { _, ok := s.ByID[id]; return ok }
 	wait(t, f, "the valid announcements", func(s *Snapshot) bool { return named(s, "h2") && named(s, "h3") })
-	good := `{"id":"h4","hall":"hall-1","address":"127.0.0.1:4"}`
+	valid := `{"id":"h4","hall":"hall-1","address":"127.0.0.1:4"}`
 	for i, c := range []struct{ key, value string }{
 		{"h2", "\x00\xff not text"},
 		{"h2", `{"id":"h2","hall":7,"address":"127.0.0.1:1"}`},
@@ -30,7 +30,7 @@
 			{"key":"e10","value":{"Service":"desk","Host":"h8","Hall":"hall-1","Address":"127.0.0.1:2"}}]}`},
 		{"h9", `[]`},
 		{"h9", ``},
-		{"h4", good},
+		{"h4", valid},
 	} {
 		commit(t, s, platform.Write{Key: HostPrefix + c.key, Value: []byte(c.value)})
 		if i == 4 {
--- a/configsync/follower.go
+++ b/configsync/follower.go
@@ -43,7 +43,7 @@
 	// ConfigReaders is the number of nodes in a hall that read the configuration of the platform's operators, which
 	// changes seldom.
 	ConfigReaders int
-	// Timeout limits one pull, and one read of the platform in addition to LongPollTimeout.
+	// Timeout limits one pull, and the opening of one link. The platform client limits reads of the platform.
 	Timeout time.Duration
 	// WithConfig makes the node read the configuration of the platform's operators in addition to the product's table.
 	WithConfig bool
@@ -138,7 +138,7 @@
 	// pulling is true while a pull is in flight; there is at most one at a time.
 	pulling bool
 	sources map[table.Plane]*sourceState
-	// lastPeerMessage is when the last message from a peer was received.
+	// lastPeerMessage is when this node last received a message from a peer, or found its link to a peer usable.
 	lastPeerMessage time.Time
 	// wanted holds, by peer address, the revisions that peers have and this node lacks.
 	wanted     map[string]pendingPull
--- a/configsync/hosts_test.go
+++ b/configsync/hosts_test.go
@@ -20,7 +20,7 @@
 	nodes     []hostList
 }
 
-// read brings a node to the store's list: with the removals since the node's revision, or by a read of the whole table.
+// read brings a node to the store's list: by the changes since the node's revision, or by a read of the whole table.
 func (m *fleetModel) read(n int, whole bool) {
 	l := m.nodes[n]
 	next := hostList{revision: l.revision, base: l.base, removed: l.removed}
--- a/configsync/messages.go
+++ b/configsync/messages.go
@@ -50,9 +50,9 @@
 	halls  *table.State
 	// at is the store version that the read shows.
 	at uint64
-	// bad is the error of a configuration that cannot be decoded, err the error of a read that failed.
-	bad error
-	err error
+	// invalid is the error of a configuration that cannot be decoded, err the error of a read that failed.
+	invalid error
+	err     error
 }
 
 func (m configRead) apply(_ context.Context, f *Follower) {
@@ -64,8 +64,8 @@
 		err = f.activateRead(table.PlaneHalls, m.halls, m.at)
 	}
 	f.recordSourceStatus(table.PlaneConfig, err)
-	if m.bad != nil {
-		f.recordSourceStatus(table.PlaneConfig, m.bad)
+	if m.invalid != nil {
+		f.recordSourceStatus(table.PlaneConfig, m.invalid)
 	}
 	f.checkReady()
 }
--- a/configsync/read.go
+++ b/configsync/read.go
@@ -178,8 +178,8 @@
 		r.removed = append(r.removed, removedHost{id: id, version: rec.Version})
 		return
 	}
-	h, bad, err := decodeAnnouncement(id, rec.Value)
-	for _, e := range bad {
+	h, invalid, err := decodeAnnouncement(id, rec.Value)
+	for _, e := range invalid {
 		r.f.noteSkipped(rec.Key+" "+e.Where, e)
 	}
 	if err != nil {
@@ -195,8 +195,8 @@
 }
 
 // decodeAnnouncement decodes an announcement; BadRow if no node can have written it. Endpoints that cannot be decoded
-// are skipped; bad holds an error for each of them.
-func decodeAnnouncement(id string, text []byte) (h table.HostInfo, bad fault.ListError, err error) {
+// are skipped; invalid holds an error for each of them.
+func decodeAnnouncement(id string, text []byte) (h table.HostInfo, invalid fault.ListError, err error) {
 	var announcement struct {
 		table.HostInfo
 		Endpoints []json.RawMessage `json:"endpoints"`
@@ -208,12 +208,12 @@
 	for i, text := range announcement.Endpoints {
 		a, err := decodeEndpoint(text)
 		if err != nil {
-			bad = append(bad, fault.New(fault.BadRow, fmt.Sprintf("endpoints[%d] %s", i, a.Key), err.Error()))
+			invalid = append(invalid, fault.New(fault.BadRow, fmt.Sprintf("endpoints[%d] %s", i, a.Key), err.Error()))
 			continue
 		}
 		h.Endpoints = append(h.Endpoints, a)
 	}
-	return h, bad, checkAnnouncement(id, h)
+	return h, invalid, checkAnnouncement(id, h)
 }
 
 // checkAnnouncement refuses an announcement without the name of its host, its hall or a valid address.
--- a/configsync/readconfig.go
+++ b/configsync/readconfig.go
@@ -59,8 +59,8 @@
 	}
 	// The cursor moves past a configuration that cannot be decoded as well: the next one may be valid, and reading this
 	// one again would fail again.
-	configs, bad := r.f.decodeConfigs(recs)
-	m := configRead{bad: bad}
+	configs, invalid := r.f.decodeConfigs(recs)
+	m := configRead{invalid: invalid}
 	if len(configs) > 0 {
 		m.config = &configs[len(configs)-1]
 		r.f.recordConfigRead(m.config.Version)
@@ -80,29 +80,29 @@
 	if m.config != nil {
 		maps.Copy(details, m.config.LeftOut)
 	}
-	if m.bad != nil {
-		details[platform.KeyConfig] = m.bad.Error()
+	if m.invalid != nil {
+		details[platform.KeyConfig] = m.invalid.Error()
 	}
-	if m.config != nil || m.bad != nil {
+	if m.config != nil || m.invalid != nil {
 		f.skippedList.Replace(skipped.Configuration, details)
 	}
 }
 
 // decodeConfigs returns the valid configurations among some records, oldest first, and the error of the last invalid
 // one.
-func (f *Follower) decodeConfigs(recs platform.Records) (configs []platform.Config, bad error) {
+func (f *Follower) decodeConfigs(recs platform.Records) (configs []platform.Config, invalid error) {
 	for _, rec := range recs.Records {
 		if rec.Key != platform.KeyConfig || rec.Deleted {
 			continue
 		}
 		cfg, err := platform.DecodeConfig(rec.Value, f.cfg.ServiceDefaults)
 		if err != nil {
-			bad = err
+			invalid = err
 			continue
 		}
 		configs = append(configs, cfg)
 	}
-	return configs, bad
+	return configs, invalid
 }
 
 // recordConfigRead records the version of a configuration that was read. It is called before configCursor moves past
