--- a/announce/announcer.go
+++ b/announce/announcer.go
@@ -109,7 +109,7 @@
 	if a.written == 0 && snap.StoredAnnouncement.Version != 0 {
 		a.found(snap.StoredAnnouncement, snap.StoredAnnouncement.Version)
 	}
-	shown := a.written != 0 && snap.State.Revisions()[table.PlaneHosts] > a.written
+	shown := a.written != 0 && snap.State.Revisions()[table.SourceHosts] > a.written
 	other := shown && (snap.StoredAnnouncement.Incarnation != a.incarnation || snap.StoredAnnouncement.Version > a.written)
 	lost := other && !a.withdrawn
 	if lost {
--- a/configsync/activate.go
+++ b/configsync/activate.go
@@ -23,9 +23,9 @@
 	next.State = s
 	f.publish(&next)
 	r := s.Revisions()
-	events.RevisionInForce.Log(f.log).Uint64("revision", r[table.PlaneRows]).
-		Uint64("config", r[table.PlaneConfig]).Uint64("hosts", r[table.PlaneHosts]).
-		Uint64("fatal", r[table.PlaneFatal]).Uint64("halls", r[table.PlaneHalls]).Send()
+	events.RevisionInForce.Log(f.log).Uint64("revision", r[table.SourceRows]).
+		Uint64("config", r[table.SourceConfig]).Uint64("hosts", r[table.SourceHosts]).
+		Uint64("fatal", r[table.SourcePoison]).Uint64("halls", r[table.SourceHalls]).Send()
 }
 
 // apply activates a delta on top of the active state.
@@ -41,24 +41,24 @@
 // activateConfig activates a later configuration; rows that it leaves unchanged keep their revision.
 func (f *Follower) activateConfig(c platform.Config) error {
 	state := f.State()
-	if c.Version <= state.Revisions()[table.PlaneConfig] {
+	if c.Version <= state.Revisions()[table.SourceConfig] {
 		return nil
 	}
-	return f.apply(state.Read(table.PlaneConfig, c.Version, c.Rows))
+	return f.apply(state.DeltaTo(table.SourceConfig, c.Version, c.Rows))
 }
 
 // activateSource updates one source to a state that holds only the rows of that source.
-func (f *Follower) activateSource(source table.Plane, s *table.State) error {
+func (f *Follower) activateSource(source table.Source, s *table.State) error {
 	from := f.State().Revisions()[source]
 	if s.Revisions()[source] <= from {
 		return nil
 	}
-	return f.apply(s.Between(source, from))
+	return f.apply(s.DeltaSince(source, from))
 }
 
 // activateRead updates a source of separately stored rows to the result of a read; at is the store version that the
 // read shows. The active rows may include one that came from a peer and that this later read does not show any more.
-func (f *Follower) activateRead(source table.Plane, s *table.State, at uint64) error {
+func (f *Follower) activateRead(source table.Source, s *table.State, at uint64) error {
 	if d, ok := f.readDelta(source, s, at); ok {
 		return f.apply(d)
 	}
@@ -66,25 +66,25 @@
 }
 
 // readDelta returns the delta from the active state to the result of a read; false if nothing changes.
-func (f *Follower) readDelta(source table.Plane, s *table.State, at uint64) (table.Delta, bool) {
+func (f *Follower) readDelta(source table.Source, s *table.State, at uint64) (table.Delta, bool) {
 	active := f.State()
 	switch from := active.Revisions()[source]; {
 	case s.Revisions()[source] > from:
-		return s.Between(source, from), true
+		return s.DeltaSince(source, from), true
 	case at > from && !sameRows(source, active, s):
-		d := table.Delta{Plane: source, To: at, Full: true}
-		s.PlaneRows(source, func(r table.Row) { d.Rows = append(d.Rows, r) })
+		d := table.Delta{Source: source, To: at, Full: true}
+		s.RowsFrom(source, func(r table.Row) { d.Rows = append(d.Rows, r) })
 		return d, true
 	}
 	return table.Delta{}, false
 }
 
 // sameRows reports whether two states hold the same rows of a source, each written by the same transaction.
-func sameRows(source table.Plane, a, b *table.State) bool {
+func sameRows(source table.Source, a, b *table.State) bool {
 	written := make(map[table.RowID]uint64)
-	a.PlaneRows(source, func(r table.Row) { written[r.ID()] = r.Revision })
+	a.RowsFrom(source, func(r table.Row) { written[r.ID()] = r.Revision })
 	same := true
-	b.PlaneRows(source, func(r table.Row) {
+	b.RowsFrom(source, func(r table.Row) {
 		revision, ok := written[r.ID()]
 		same = same && ok && revision == r.Revision
 		delete(written, r.ID())
@@ -174,7 +174,7 @@
 func (f *Follower) publish(snap *Snapshot) {
 	old := f.current.Swap(snap)
 	undecodable := make(map[string]string)
-	snap.State.Unread(func(u table.Unread) { undecodable[u.Kind.String()+" "+u.Key] = u.Detail })
+	snap.State.UndecodableRows(func(u table.UndecodableRow) { undecodable[u.Kind.String()+" "+u.Key] = u.Detail })
 	f.skippedList.Replace(skipped.Table, undecodable)
 	f.logEvacuations(old, snap)
 	for _, hook := range f.onChange {
@@ -204,20 +204,20 @@
 	next.Ready = true
 	f.publish(&next)
 	events.ConfigReady.Log(f.log).Uint64("revision", snap.State.Revision()).
-		Uint64("config", snap.State.Revisions()[table.PlaneConfig]).
+		Uint64("config", snap.State.Revisions()[table.SourceConfig]).
 		Dur("after", time.Since(f.startedAt)).Bool("from_platform", answered).Send()
 }
 
 // holdsConfig reports whether the node has a configuration to serve with.
 func (f *Follower) holdsConfig(snap *Snapshot) bool {
 	if f.cfg.WithConfig {
-		return snap.State.Revisions()[table.PlaneConfig] > 0
+		return snap.State.Revisions()[table.SourceConfig] > 0
 	}
 	return snap.State.Revision() > 0
 }
 
 // recordSourceStatus records whether the platform has answered for a source, and logs what has changed.
-func (f *Follower) recordSourceStatus(source table.Plane, err error) {
+func (f *Follower) recordSourceStatus(source table.Source, err error) {
 	s := f.sources[source]
 	switch code := fault.CodeOf(err); {
 	case err == nil:
--- a/configsync/follower.go
+++ b/configsync/follower.go
@@ -137,7 +137,7 @@
 
 	// pulling is true while a pull is in flight; there is at most one at a time.
 	pulling bool
-	sources map[table.Plane]*sourceState
+	sources map[table.Source]*sourceState
 	// lastPeerMessage is when this node last received a message from a peer, or found its link to a peer usable.
 	lastPeerMessage time.Time
 	// wanted holds, by peer address, the revisions that peers have and this node lacks.
@@ -172,11 +172,11 @@
 		cfg: cfg, log: log, platform: p, links: links,
 		confirms: sharedCheck{now: clock.Boot}, skippedList: skipped.New(log),
 		messages: make(chan message, messageBacklog), done: make(chan struct{}),
-		sources: map[table.Plane]*sourceState{table.PlaneRows: {}},
+		sources: map[table.Source]*sourceState{table.SourceRows: {}},
 		wanted:  make(map[string]pendingPull), seedsAsked: make(map[string]bool),
 	}
 	if cfg.WithConfig {
-		f.sources[table.PlaneConfig] = &sourceState{}
+		f.sources[table.SourceConfig] = &sourceState{}
 	}
 	for _, opt := range opts {
 		opt(f)
--- a/configsync/halls.go
+++ b/configsync/halls.go
@@ -35,7 +35,7 @@
 
 // evacuationOf returns the row of an evacuated hall, or its removal; BadRow if the record does not name a hall.
 func evacuationOf(hall string, rec platform.Record, now time.Time) (table.Row, error) {
-	meta := table.Meta{Version: rec.Version, Revision: rec.Version, Plane: table.PlaneHalls}
+	meta := table.Meta{Version: rec.Version, Revision: rec.Version, Source: table.SourceHalls}
 	if rec.Deleted {
 		return table.Row{Kind: table.KindEvacuation, Key: hall, Meta: meta, Deleted: true}, nil
 	}
--- a/configsync/messages.go
+++ b/configsync/messages.go
@@ -27,12 +27,12 @@
 	err := m.err
 	if err == nil {
 		f.activateHostsRead(m)
-		err = f.activateSource(table.PlaneRows, m.state)
+		err = f.activateSource(table.SourceRows, m.state)
 	}
 	if err == nil {
-		err = f.activateRead(table.PlaneFatal, m.poisonRequests, m.at)
+		err = f.activateRead(table.SourcePoison, m.poisonRequests, m.at)
 	}
-	f.recordSourceStatus(table.PlaneRows, err)
+	f.recordSourceStatus(table.SourceRows, err)
 	f.checkReady()
 }
 
@@ -61,11 +61,11 @@
 		err = f.activateConfig(*m.config)
 	}
 	if m.halls != nil && err == nil {
-		err = f.activateRead(table.PlaneHalls, m.halls, m.at)
+		err = f.activateRead(table.SourceHalls, m.halls, m.at)
 	}
-	f.recordSourceStatus(table.PlaneConfig, err)
+	f.recordSourceStatus(table.SourceConfig, err)
 	if m.invalid != nil {
-		f.recordSourceStatus(table.PlaneConfig, m.invalid)
+		f.recordSourceStatus(table.SourceConfig, m.invalid)
 	}
 	f.checkReady()
 }
--- a/configsync/poison_test.go
+++ b/configsync/poison_test.go
@@ -13,7 +13,7 @@
 // crashWrite returns the write of a node that records the crashes of endpoints during a request with this fingerprint.
 func crashWrite(t *testing.T, c poison.Fingerprint, ends ...string) platform.Write {
 	t.Helper()
-	value, err := poison.Encode(poison.WithCrashes(table.Fatal{}, "docket-desk", ends, time.Now()))
+	value, err := poison.Encode(poison.WithCrashes(table.PoisonRequest{}, "docket-desk", ends, time.Now()))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -23,7 +23,7 @@
 // crashesAre returns a condition that holds when a snapshot has this number of crashes for a fingerprint.
 func crashesAre(c poison.Fingerprint, want int) func(*Snapshot) bool {
 	return func(s *Snapshot) bool {
-		row, _ := s.State.Fatal(c.String())
+		row, _ := s.State.PoisonRequest(c.String())
 		return len(row.Value.Ends.List()) == want
 	}
 }
@@ -54,20 +54,20 @@
 		w := crashWrite(t, c, "e1@1")
 		return platform.Record{Key: w.Key, Value: w.Value, Version: version}
 	}
-	r := &productReader{poisonRequests: newRowSource(table.PlaneFatal)}
+	r := &productReader{poisonRequests: newRowSource(table.SourcePoison)}
 	if err := r.applyPoisonRecords([]platform.Record{rec(one, 5), rec(two, 7)}, 9); err != nil {
 		t.Fatal(err)
 	}
 	if err := r.applyPoisonRecords([]platform.Record{rec(one, 5)}, 20); err != nil {
 		t.Fatal(err)
 	}
-	if _, got := r.poisonRequests.state.Fatal(two.String()); got {
+	if _, got := r.poisonRequests.state.PoisonRequest(two.String()); got {
 		t.Error("removed row: got it, want none")
 	}
-	if _, got := r.poisonRequests.state.Fatal(one.String()); !got {
+	if _, got := r.poisonRequests.state.PoisonRequest(one.String()); !got {
 		t.Error("remaining row: got none, want it")
 	}
-	if got, want := r.poisonRequests.state.Revisions()[table.PlaneFatal], uint64(20); got != want {
+	if got, want := r.poisonRequests.state.Revisions()[table.SourcePoison], uint64(20); got != want {
 		t.Errorf("revision: got %d, want %d", got, want)
 	}
 }
--- a/configsync/pull.go
+++ b/configsync/pull.go
@@ -98,9 +98,9 @@
 // lacks changes of a source that it does not read.
 func (f *Follower) pullDelayFor(shown table.Revisions) time.Duration {
 	active := f.State().Revisions()
-	reads := map[table.Plane]bool{
-		table.PlaneRows: f.reading.Load(), table.PlaneHosts: f.reading.Load(), table.PlaneConfig: f.readingConfig.Load(),
-		table.PlaneFatal: f.reading.Load(), table.PlaneHalls: f.readingConfig.Load(),
+	reads := map[table.Source]bool{
+		table.SourceRows: f.reading.Load(), table.SourceHosts: f.reading.Load(), table.SourceConfig: f.readingConfig.Load(),
+		table.SourcePoison: f.reading.Load(), table.SourceHalls: f.readingConfig.Load(),
 	}
 	wait := pullHostsDelay
 	for source, readsSource := range reads {
@@ -108,7 +108,7 @@
 		case active[source] >= shown[source]:
 		case !readsSource:
 			return 0
-		case source != table.PlaneHosts && source != table.PlaneFatal:
+		case source != table.SourceHosts && source != table.SourcePoison:
 			wait = pullDelay
 		}
 	}
@@ -199,7 +199,7 @@
 		err = f.applyParts(m.parts)
 	}
 	if code := fault.CodeOf(err); code == fault.BadRow || code == fault.Protocol {
-		f.recordSourceStatus(table.PlaneRows, err)
+		f.recordSourceStatus(table.SourceRows, err)
 	}
 	f.checkReady()
 	if !f.Snapshot().Ready {
--- a/configsync/readconfig.go
+++ b/configsync/readconfig.go
@@ -26,7 +26,7 @@
 // readConfig keeps reading the table of the platform's operators until the node stops.
 func (f *Follower) readConfig(ctx context.Context) {
 	r := &configReader{
-		f: f, halls: newRowSource(table.PlaneHalls), backoff: retry.Backoff{Initial: f.cfg.RetryInterval, Max: f.cfg.MaxRetryInterval},
+		f: f, halls: newRowSource(table.SourceHalls), backoff: retry.Backoff{Initial: f.cfg.RetryInterval, Max: f.cfg.MaxRetryInterval},
 	}
 	for {
 		wait := f.cfg.RetryInterval
--- a/configsync/rowsource.go
+++ b/configsync/rowsource.go
@@ -10,12 +10,12 @@
 // Invariant: a state at a revision includes every change of the source's rows up to that store version, so that of two
 // states the one with the later revision is valid.
 type rowSource struct {
-	source table.Plane
+	source table.Source
 	// state holds the rows of this source only.
 	state *table.State
 }
 
-func newRowSource(source table.Plane) *rowSource {
+func newRowSource(source table.Source) *rowSource {
 	return &rowSource{source: source, state: table.NewState()}
 }
 
@@ -23,7 +23,7 @@
 // source.
 func (r *rowSource) note(rows []table.Row, whole bool, version uint64) error {
 	revision := r.state.Revisions()[r.source]
-	d := table.Delta{Plane: r.source, From: revision, To: revision, Full: whole, Rows: rows}
+	d := table.Delta{Source: r.source, From: revision, To: revision, Full: whole, Rows: rows}
 	for _, row := range rows {
 		d.To = max(d.To, row.Revision)
 	}
@@ -47,6 +47,6 @@
 		shown[row.ID()] = true
 	}
 	missing := false
-	r.state.PlaneRows(r.source, func(row table.Row) { missing = missing || !shown[row.ID()] })
+	r.state.RowsFrom(r.source, func(row table.Row) { missing = missing || !shown[row.ID()] })
 	return missing
 }
--- a/configsync/wire.go
+++ b/configsync/wire.go
@@ -16,13 +16,13 @@
 func Deltas(snap *Snapshot, from table.Revisions, changesOnly bool) []*peerpb.Delta {
 	var parts []*peerpb.Delta
 	to := snap.State.Revisions()
-	for _, source := range []table.Plane{table.PlaneRows, table.PlaneConfig, table.PlaneFatal, table.PlaneHalls} {
+	for _, source := range []table.Source{table.SourceRows, table.SourceConfig, table.SourcePoison, table.SourceHalls} {
 		if to[source] > from[source] {
-			parts = append(parts, sourceDeltas(snap.State.Between(source, from[source]))...)
+			parts = append(parts, sourceDeltas(snap.State.DeltaSince(source, from[source]))...)
 		}
 	}
-	if to[table.PlaneHosts] > from[table.PlaneHosts] {
-		parts = append(parts, hostsDelta(snap.hostsSince(from[table.PlaneHosts], changesOnly)))
+	if to[table.SourceHosts] > from[table.SourceHosts] {
+		parts = append(parts, hostsDelta(snap.hostsSince(from[table.SourceHosts], changesOnly)))
 	}
 	if len(parts) == 0 {
 		parts = append(parts, &peerpb.Delta{})
@@ -38,7 +38,7 @@
 	var parts []*peerpb.Delta
 	for start := 0; start < len(whole.Rows) || start == 0; start += rowsPerDelta {
 		end := min(start+rowsPerDelta, len(whole.Rows))
-		d := &peerpb.Delta{From: whole.From, To: whole.To, Full: whole.Full, Plane: uint32(whole.Plane), Steps: whole.Steps}
+		d := &peerpb.Delta{From: whole.From, To: whole.To, Full: whole.Full, Plane: uint32(whole.Source), Steps: whole.Steps}
 		for _, r := range whole.Rows[start:end] {
 			d.Rows = append(d.Rows, toWire(r))
 		}
@@ -65,7 +65,7 @@
 // hostsDelta encodes changes of the list of hosts; changesFromWire decodes them. The wire calls a removed host gone.
 func hostsDelta(c hostChanges) *peerpb.Delta {
 	d := &peerpb.Delta{
-		Plane: uint32(table.PlaneHosts), HostsRevision: c.revision, HostsFrom: c.from, HostsBase: c.base,
+		Plane: uint32(table.SourceHosts), HostsRevision: c.revision, HostsFrom: c.from, HostsBase: c.base,
 	}
 	for _, removed := range c.removed {
 		d.Gone = append(d.Gone, &peerpb.GoneHost{Id: removed.id, Version: removed.version})
@@ -123,14 +123,14 @@
 			hosts = changesFromWire(p)
 			continue
 		}
-		source := table.Plane(min(p.GetPlane(), math.MaxUint8))
-		if !source.Known() {
+		source := table.Source(min(p.GetPlane(), math.MaxUint8))
+		if !source.Valid() {
 			// A source that only a newer version of the program has.
 			continue
 		}
-		if len(deltas) == 0 || deltas[len(deltas)-1].Plane != source {
+		if len(deltas) == 0 || deltas[len(deltas)-1].Source != source {
 			deltas = append(deltas, table.Delta{
-				Plane: source, From: p.GetFrom(), To: p.GetTo(), Full: p.GetFull(), Steps: p.GetSteps(),
+				Source: source, From: p.GetFrom(), To: p.GetTo(), Full: p.GetFull(), Steps: p.GetSteps(),
 			})
 		}
 		last := &deltas[len(deltas)-1]
--- a/egress/dispatch_test.go
+++ b/egress/dispatch_test.go
@@ -41,7 +41,7 @@
 	}{
 		"nothing":       {func(*Egress) {}, ""},
 		"drained":       {func(e *Egress) { e.state = newTestEgress(t, address, table.Draining).state }, fault.Draining},
-		"configuration": {func(e *Egress) { e.seenRevisions.raise(table.PlaneConfig, 2) }, fault.Stale},
+		"configuration": {func(e *Egress) { e.seenRevisions.raise(table.SourceConfig, 2) }, fault.Stale},
 	} {
 		began.Store(0)
 		e := newTestEgress(t, address, table.Active)
--- a/egress/keys.go
+++ b/egress/keys.go
@@ -84,7 +84,7 @@
 		return
 	}
 	k.revisions = s.Revisions()
-	bounds := s.RegionBounds()
+	bounds := s.RegionRulesHash()
 	if bounds != k.regionBounds && k.ready {
 		clear(k.endpointLists)
 		k.ready = false
--- a/egress/offer.go
+++ b/egress/offer.go
@@ -96,7 +96,7 @@
 func (e *Egress) logRefusal(l *localEndpoint, d *peerpb.Dispatch, end *peerpb.End) {
 	line := events.OfferRefused.Log(e.log).Str("request", d.GetRequestId()).Str("endpoint", d.GetEndpoint()).
 		Str("service", d.GetService()).Str("code", end.GetCode()).Uint64("config", d.GetConfig()).
-		Uint64("holds", e.state().Revisions()[table.PlaneConfig]).Uint64("seen", e.seenRevisions.newest[table.PlaneConfig].Load())
+		Uint64("holds", e.state().Revisions()[table.SourceConfig]).Uint64("seen", e.seenRevisions.newest[table.SourceConfig].Load())
 	if l != nil {
 		line.Uint32("busy", end.GetLoad().GetBusy()).Uint32("queued", end.GetLoad().GetQueued()).
 			Uint32("slots", end.GetLoad().GetSlots()).Str("breaker", l.breakerState().String())
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -231,15 +231,15 @@
 
 // Observe replaces the rows in view by those of a snapshot that became active.
 func (t *Tracker) Observe(snap *configsync.Snapshot) {
-	revision := snap.State.Revisions()[table.PlaneFatal]
+	revision := snap.State.Revisions()[table.SourcePoison]
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if revision == t.revision {
 		return
 	}
 	t.revision = revision
-	rows := make(map[poison.Fingerprint]table.Entry[table.Fatal])
-	snap.State.Fatals(func(e table.Entry[table.Fatal]) {
+	rows := make(map[poison.Fingerprint]table.Entry[table.PoisonRequest])
+	snap.State.PoisonRequests(func(e table.Entry[table.PoisonRequest]) {
 		if f, ok := poison.ParseFingerprint(e.Key); ok {
 			rows[f] = e
 		}
--- a/quarantine/write.go
+++ b/quarantine/write.go
@@ -95,7 +95,7 @@
 type edit struct {
 	fingerprint poison.Fingerprint
 	// value is the new content of the row; remove is set to remove the row instead.
-	value  table.Fatal
+	value  table.PoisonRequest
 	remove bool
 	// version is the version of the row that this edit replaces, 0 if there is no row.
 	version uint64
