--- a/announce/announcer.go
+++ b/announce/announcer.go
@@ -109,7 +109,7 @@
 	if a.written == 0 && snap.SelfLine.Version != 0 {
 		a.found(snap.SelfLine, snap.SelfLine.Version)
 	}
-	shown := a.written != 0 && snap.State.Revisions()[table.PlaneHosts] > a.written
+	shown := a.written != 0 && snap.State.Revisions()[table.SourceHosts] > a.written
 	other := shown && (snap.SelfLine.Incarnation != a.incarnation || snap.SelfLine.Version > a.written)
 	lost := other && !a.withdrawn
 	if lost {
--- a/configsync/confirm_test.go
+++ b/configsync/confirm_test.go
@@ -41,7 +41,7 @@
 
 func (a answering) Confirm(ctx context.Context) (uint64, bool) {
 	known := a.f.ConfirmForPeer(ctx)
-	return a.f.State().Revisions()[table.PlaneConfig], known
+	return a.f.State().Revisions()[table.SourceConfig], known
 }
 
 // hallOfTwo starts a reader and another node of its hall at one store.
--- a/configsync/follow_test.go
+++ b/configsync/follow_test.go
@@ -268,7 +268,7 @@
 		}
 		state = next
 	}
-	if got, want := state.Revisions()[table.PlaneConfig], uint64(7); got != want {
+	if got, want := state.Revisions()[table.SourceConfig], uint64(7); got != want {
 		t.Errorf("revision: got %d, want %d", got, want)
 	}
 	if r, ok := state.Match("x", "/a/"); ok {
--- a/configsync/follower.go
+++ b/configsync/follower.go
@@ -132,7 +132,7 @@
 
 	// pulling is set while a peer is asked; at most one is at a time.
 	pulling bool
-	sources map[table.Plane]*sourceState
+	sources map[table.Source]*sourceState
 	// heardAt is when a peer last gave word.
 	heardAt time.Time
 	// wanted is what peers have shown that this node lacks, by their address.
@@ -167,11 +167,11 @@
 		cfg: cfg, log: log, platform: p, links: links,
 		confirms: shared{now: clock.Boot}, leftOut: skipped.New(log),
 		messages: make(chan message, messageBacklog), done: make(chan struct{}),
-		sources: map[table.Plane]*sourceState{table.PlaneRows: {}},
+		sources: map[table.Source]*sourceState{table.SourceRows: {}},
 		wanted:  make(map[string]wantedPull), seedsAsked: make(map[string]bool),
 	}
 	if cfg.WithConfig {
-		f.sources[table.PlaneConfig] = &sourceState{}
+		f.sources[table.SourceConfig] = &sourceState{}
 	}
 	for _, opt := range opts {
 		opt(f)
--- a/configsync/read.go
+++ b/configsync/read.go
@@ -83,7 +83,7 @@
 // readOwn keeps reading the product's own table until the node stops.
 func (f *Follower) readOwn(ctx context.Context) {
 	r := &ownReader{
-		f: f, rows: changes.NewReader(f.platform, changes.WithBad(f.leaveOut)), state: table.NewState(), fatals: newRowPlane(table.PlaneFatal),
+		f: f, rows: changes.NewReader(f.platform, changes.WithBad(f.leaveOut)), state: table.NewState(), fatals: newRowPlane(table.SourcePoison),
 		failing: retry.Backoff{First: f.cfg.Retry, Most: f.cfg.RetryMost},
 	}
 	for {
--- a/configsync/readconfig.go
+++ b/configsync/readconfig.go
@@ -25,7 +25,7 @@
 // readConfig keeps reading the platform's operators' table until the node stops.
 func (f *Follower) readConfig(ctx context.Context) {
 	r := &configReader{
-		f: f, halls: newRowPlane(table.PlaneHalls), failing: retry.Backoff{First: f.cfg.Retry, Most: f.cfg.RetryMost},
+		f: f, halls: newRowPlane(table.SourceHalls), failing: retry.Backoff{First: f.cfg.Retry, Most: f.cfg.RetryMost},
 	}
 	for {
 		wait := f.cfg.Retry
--- a/ingress/call.go
+++ b/ingress/call.go
@@ -61,7 +61,7 @@
 	c := call{
 		id: say.ID, method: r.Method, target: r.RequestURI, host: r.Host, path: r.URL.EscapedPath(), customer: say.Customer, token: say.Token,
 		key: say.Key, attempt: say.Attempt, revision: snap.State.Revision(),
-		config: snap.State.Revisions()[table.PlaneConfig],
+		config: snap.State.Revisions()[table.SourceConfig],
 	}
 	if bad != nil {
 		return c, bad
@@ -79,18 +79,18 @@
 	c.timeout = c.route.timeout(c.service, say.Timeout)
 	c.repeatable = c.route.repeatable(r.Method, say.Repeatable)
 	g.findOrigin(&c)
-	c.headers = g.cfg.Contract.Forward(r.Header, contract.Origin{Address: clientIP(r), Keyed: snap.State.KeysWanted()})
+	c.headers = g.cfg.Contract.Forward(r.Header, contract.Origin{Address: clientIP(r), Keyed: snap.State.KeysRequired()})
 	return c, nil
 }
 
 // holder finds the customer whose key the caller bears, where callers must bear one; keyed is false for a route that is open to all and
 // a caller that bears no key, or none that counts, which is nobody's.
 func (c *call) holder(s *table.State) (customer string, keyed bool, bad *fault.Error) {
-	if !s.KeysWanted() {
+	if !s.KeysRequired() {
 		return c.customer, false, nil
 	}
 	if c.token.Key != "" {
-		if holder, ok := s.Holder(table.DigestKey(c.token.Key)); ok {
+		if holder, ok := s.CustomerByKey(table.DigestKey(c.token.Key)); ok {
 			if holder.Value.Closed {
 				return holder.Key, true, fault.New(fault.Closed, "customer "+holder.Key, "the customer is closed")
 			}
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -153,11 +153,11 @@
 // Payer returns the customer of a request by what its header says, "" for none that is known.
 func (g *Ingress) Payer(h http.Header) string {
 	s := g.snapshot().State
-	if !s.KeysWanted() {
+	if !s.KeysRequired() {
 		say, _ := g.cfg.Contract.Call(h)
 		return say.Customer
 	}
-	holder, _ := s.Holder(table.DigestKey(contract.TokenOf(h).Key))
+	holder, _ := s.CustomerByKey(table.DigestKey(contract.TokenOf(h).Key))
 	return holder.Key
 }
 
@@ -175,7 +175,7 @@
 	}
 	if bad != nil {
 		events.RequestRefused.Log(g.log).Str("request", c.id).Str("code", string(bad.Code)).
-			Str("where", bad.Where).Uint64("config", snap.State.Revisions()[table.PlaneConfig]).Send()
+			Str("where", bad.Where).Uint64("config", snap.State.Revisions()[table.SourceConfig]).Send()
 		g.refuseEarly(w, r, c.id, peer.NotRun(bad.Code, 0), bad.Detail)
 		return
 	}
--- a/ingress/stale.go
+++ b/ingress/stale.go
@@ -58,14 +58,14 @@
 	}
 	x.call.regions = snap.State.RegionsFor(next.Value, customer)
 	held := snap.State.Revisions()
-	x.call.config, x.call.revision = held[table.PlaneConfig], held[table.PlaneRows]
+	x.call.config, x.call.revision = held[table.SourceConfig], held[table.SourceRows]
 	return true
 }
 
 // behind tells whether a newer configuration is in force here than the one that the request goes by.
 func (x *exchange) behind() bool {
 	held := x.g.snapshot().State.Revisions()
-	return held[table.PlaneConfig] > x.call.config || held[table.PlaneRows] > x.call.revision
+	return held[table.SourceConfig] > x.call.config || held[table.SourceRows] > x.call.revision
 }
 
 // sends tells whether a route sends requests to a service.
--- a/node/node.go
+++ b/node/node.go
@@ -273,7 +273,7 @@
 // Confirm implements peer.Handler.
 func (h handler) Confirm(ctx context.Context) (config uint64, known bool) {
 	known = h.follower.ConfirmForPeer(ctx)
-	return h.follower.State().Revisions()[table.PlaneConfig], known
+	return h.follower.State().Revisions()[table.SourceConfig], known
 }
 
 // Deltas implements peer.Handler.
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -174,7 +174,7 @@
 		Process: process(), Keys: o.egress.Keys(), Endpoints: o.egress.Statuses(),
 	}
 	held := snap.State.Revisions()
-	s.Config, s.HostsRevision = held[table.PlaneConfig], held[table.PlaneHosts]
+	s.Config, s.HostsRevision = held[table.SourceConfig], held[table.SourceHosts]
 	s.ReadsOwn, s.ReadsConfig = o.reads()
 	s.LinksDialed, s.LinksAccepted = o.links.Links()
 	s.PeerBytes = o.links.Bytes()
--- a/peer/serve.go
+++ b/peer/serve.go
@@ -114,16 +114,16 @@
 func knownPlanes(p *peerpb.Pull) int {
 	switch {
 	case p.GetPlanes() > 0:
-		return int(min(p.GetPlanes(), uint32(table.PlaneCount)))
+		return int(min(p.GetPlanes(), uint32(table.SourceCount)))
 	case p.GetFatal():
-		return int(table.PlaneFatal) + 1
+		return int(table.SourcePoison) + 1
 	}
-	return int(table.PlaneHosts) + 1
+	return int(table.SourceHosts) + 1
 }
 
 func (m *Manager) servePull(stream net.Conn, p *peerpb.Pull) {
 	from := revisionsOf(p.GetFrom())
-	for plane := knownPlanes(p); plane < table.PlaneCount; plane++ {
+	for plane := knownPlanes(p); plane < table.SourceCount; plane++ {
 		from[plane] = math.MaxUint64
 	}
 	for _, d := range m.handler.Deltas(from, p.GetHostChanges()) {
--- a/quarantine/keeper.go
+++ b/quarantine/keeper.go
@@ -220,15 +220,15 @@
 
 // Observe takes a new snapshot in force.
 func (k *Keeper) Observe(snap *configsync.Snapshot) {
-	revision := snap.State.Revisions()[table.PlaneFatal]
+	revision := snap.State.Revisions()[table.SourcePoison]
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if revision == k.revision {
 		return
 	}
 	k.revision = revision
-	rows := make(map[poison.Content]table.Entry[table.Fatal])
-	snap.State.Fatals(func(e table.Entry[table.Fatal]) {
+	rows := make(map[poison.Content]table.Entry[table.PoisonRequest])
+	snap.State.PoisonRequests(func(e table.Entry[table.PoisonRequest]) {
 		if c, ok := poison.Parse(e.Key); ok {
 			rows[c] = e
 		}
--- a/quarantine/write.go
+++ b/quarantine/write.go
@@ -92,7 +92,7 @@
 type edit struct {
 	content poison.Content
 	// value is what is known of it, gone is set to take it out.
-	value table.Fatal
+	value table.PoisonRequest
 	gone  bool
 	// version is the row's as it is known here, 0 for none.
 	version uint64
