--- a/tablefile/csv.go
+++ b/tablefile/csv.go
@@ -12,64 +12,64 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// The columns of a CSV sheet besides the kind's own.
+// The columns of a CSV file in addition to those of the sheet.
 const (
 	keyColumn     = "key"
 	versionColumn = "version"
 )
 
-// Line is a row with its place in a file.
+// Line is a row read from a file, with its location there.
 type Line struct {
 	table.Row
-	// Where is the file and line.
+	// Where is the location as "FILE:LINE".
 	Where string
-	// Versioned is set when the file gives the row's version.
+	// Versioned is set if the file states the row's version.
 	Versioned bool
 }
 
-// ReadCSV reads one sheet; it returns every fault at once, each with file, line and field. Columns may come in any
-// order and may be missing; an empty cell takes the column's default.
+// ReadCSV reads the rows of one sheet. The error lists every fault, with file, line and column. Columns may be in any order
+// and may be missing; an empty or missing cell takes the column's default.
 func ReadCSV(name string, r io.Reader, sheet table.Sheet) ([]Line, error) {
-	in := csv.NewReader(r)
-	in.FieldsPerRecord = -1
-	head, err := in.Read()
+	reader := csv.NewReader(r)
+	reader.FieldsPerRecord = -1
+	header, err := reader.Read()
 	if err != nil {
-		return nil, fault.Wrap(err, fault.BadRow, name+":1", "want a line of headings")
+		return nil, fault.Wrap(err, fault.BadRow, name+":1", "want a header line")
 	}
-	places, bad := headings(name, head, sheet)
+	columns, bad := parseHeader(name, header, sheet)
 	if len(bad) > 0 {
 		return nil, bad
 	}
 	var lines []Line
 	for {
-		record, err := in.Read()
+		record, err := reader.Read()
 		if errors.Is(err, io.EOF) {
 			return lines, bad.OrNil()
 		}
 		if err != nil {
 			return nil, append(bad, fault.Wrap(err, fault.BadRow, name, "not CSV"))
 		}
-		n, _ := in.FieldPos(0)
-		where := name + ":" + strconv.Itoa(n)
-		if len(record) != len(head) {
-			detail := fmt.Sprintf("want %d cells, got %d", len(head), len(record))
+		number, _ := reader.FieldPos(0)
+		where := name + ":" + strconv.Itoa(number)
+		if len(record) != len(header) {
+			detail := fmt.Sprintf("want %d cells, got %d", len(header), len(record))
 			bad = append(bad, fault.New(fault.BadRow, where, detail))
 			continue
 		}
-		line, faults := readRecord(where, record, places, sheet)
+		line, faults := parseRecord(where, record, columns, sheet)
 		bad = append(bad, faults...)
 		lines = append(lines, line)
 	}
 }
 
-// headings returns for each cell of a record the name of its column.
-func headings(name string, head []string, sheet table.Sheet) ([]string, fault.ListError) {
+// parseHeader returns the column name of each cell in a record.
+func parseHeader(name string, header []string, sheet table.Sheet) ([]string, fault.ListError) {
 	var bad fault.ListError
 	seen := make(map[string]bool)
-	places := make([]string, len(head))
-	for i, text := range head {
+	columns := make([]string, len(header))
+	for i, text := range header {
 		text = strings.TrimSpace(text)
-		places[i] = text
+		columns[i] = text
 		_, err := sheet.Column(text)
 		switch {
 		case seen[text]:
@@ -82,16 +82,16 @@
 	if !seen[keyColumn] {
 		bad = append(bad, fault.New(fault.BadRow, name+":1", `want a column "key"`))
 	}
-	return places, bad
+	return columns, bad
 }
 
-func readRecord(where string, record, places []string, sheet table.Sheet) (Line, fault.ListError) {
+func parseRecord(where string, record, columns []string, sheet table.Sheet) (Line, fault.ListError) {
 	var bad fault.ListError
 	var key string
 	var version uint64
 	line := Line{Where: where}
 	cells := make([]string, len(sheet.Columns))
-	for i, column := range places {
+	for i, column := range columns {
 		text := strings.TrimSpace(record[i])
 		switch column {
 		case keyColumn:
@@ -103,18 +103,18 @@
 			}
 			version, line.Versioned = v, true
 		default:
-			at, _ := sheet.Column(column)
-			cells[at] = text
+			index, _ := sheet.Column(column)
+			cells[index] = text
 		}
 	}
 	row, err := table.NewRow(sheet.Kind, key, cells)
 	row.Version = version
 	line.Row = row
-	return line, append(bad, placed(where, err)...)
+	return line, append(bad, withLocation(where, err)...)
 }
 
-// placed puts the file and line before each fault of a row.
-func placed(where string, err error) fault.ListError {
+// withLocation puts the file and line in front of each error of a row.
+func withLocation(where string, err error) fault.ListError {
 	var list fault.ListError
 	if err == nil {
 		return nil
@@ -129,15 +129,15 @@
 	return out
 }
 
-// WriteCSV writes one sheet with keys and versions.
+// WriteCSV writes rows of one sheet, with their keys and versions.
 func WriteCSV(w io.Writer, sheet table.Sheet, rows []table.Row) error {
 	out := csv.NewWriter(w)
-	head := make([]string, 0, len(sheet.Columns)+2)
-	head = append(head, keyColumn, versionColumn)
+	header := make([]string, 0, len(sheet.Columns)+2)
+	header = append(header, keyColumn, versionColumn)
 	for _, c := range sheet.Columns {
-		head = append(head, c.Name)
+		header = append(header, c.Name)
 	}
-	if err := out.Write(head); err != nil {
+	if err := out.Write(header); err != nil {
 		return fault.Wrap(err, fault.Unavailable, "output", "cannot be written")
 	}
 	for _, r := range rows {
--- a/tablefile/dir.go
+++ b/tablefile/dir.go
@@ -11,7 +11,8 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// ReadFile reads a .yaml or .csv file; kind names the sheet of a CSV file, "" for the file's own name.
+// ReadFile reads a .yaml, .yml or .csv file. The parameter kind names the sheet of a CSV file; if it is "",
+// the base name of the file does.
 func ReadFile(path, kind string) ([]Line, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -33,7 +34,8 @@
 	return nil, fault.New(fault.BadRow, path, "want a .yaml or .csv file")
 }
 
-// ReadDir reads every .yaml and .csv file of a directory and refuses rows that stand in two places.
+// ReadDir reads all .yaml, .yml and .csv files of a directory. The error lists every fault of a file and all rows that are given more
+// than once.
 func ReadDir(dir string) ([]Line, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -45,23 +47,23 @@
 		if e.IsDir() || !slices.Contains([]string{".yaml", ".yml", ".csv"}, filepath.Ext(e.Name())) {
 			continue
 		}
-		more, err := ReadFile(filepath.Join(dir, e.Name()), "")
+		fileLines, err := ReadFile(filepath.Join(dir, e.Name()), "")
 		if err != nil {
-			bad = append(bad, placedFile(err)...)
+			bad = append(bad, errorList(err)...)
 		}
-		lines = append(lines, more...)
+		lines = append(lines, fileLines...)
 	}
-	return lines, append(bad, twice(lines)...).OrNil()
+	return lines, append(bad, findDuplicates(lines)...).OrNil()
 }
 
-func placedFile(err error) fault.ListError {
-	if list, ok := err.(fault.ListError); ok { //nolint:errorlint // the readers return it bare
+func errorList(err error) fault.ListError {
+	if list, ok := err.(fault.ListError); ok { //nolint:errorlint // the readers return it unwrapped
 		return list
 	}
 	return fault.ListError{fault.Wrap(err, fault.BadRow, "", "file cannot be read")}
 }
 
-func twice(lines []Line) fault.ListError {
+func findDuplicates(lines []Line) fault.ListError {
 	type id struct {
 		kind table.Kind
 		key  string
@@ -70,8 +72,8 @@
 	var bad fault.ListError
 	for _, l := range lines {
 		i := id{l.Kind, l.Key}
-		if at, ok := first[i]; ok {
-			bad = append(bad, fault.New(fault.BadRow, l.Where+": "+l.Kind.String()+" "+l.Key, "stands already at "+at))
+		if where, ok := first[i]; ok {
+			bad = append(bad, fault.New(fault.BadRow, l.Where+": "+l.Kind.String()+" "+l.Key, "stands already at "+where))
 			continue
 		}
 		first[i] = l.Where
--- a/tablefile/doc.go
+++ b/tablefile/doc.go
@@ -1,2 +1,3 @@
-// Package tablefile reads and writes rows as CSV and YAML, as operators keep them in spreadsheets and version control.
+// Package tablefile reads and writes configuration rows as CSV and YAML files, which operators keep in spreadsheets and version
+// control.
 package tablefile
--- a/tablefile/fuzz_test.go
+++ b/tablefile/fuzz_test.go
@@ -7,8 +7,8 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// FuzzYAML reads arbitrary text as declarations: rows or faults, never a panic; and what it reads, it writes and reads
-// back the same.
+// FuzzYAML checks that ReadYAML returns rows or an error for arbitrary text but never panics, and that the rows can be written and
+// read back without losing any.
 func FuzzYAML(f *testing.F) {
 	f.Add([]byte("service: {a: {floor: 50%}}"))
 	f.Add([]byte("endpoint: {e: {service: a, host: h, hall: x, address: '127.0.0.1:1'}}"))
@@ -33,7 +33,7 @@
 	})
 }
 
-// FuzzCSV reads arbitrary text as a sheet: rows or faults, never a panic.
+// FuzzCSV checks that ReadCSV returns rows with keys, or an error, for arbitrary text but never panics.
 func FuzzCSV(f *testing.F) {
 	f.Add([]byte("key,floor\na,50%\n"))
 	f.Add([]byte("key,version,floor\na,1,\"5\n0%\"\n"))
@@ -42,7 +42,7 @@
 		lines, err := ReadCSV("in", bytes.NewReader(text), table.Sheets[0])
 		for _, l := range lines {
 			if err == nil && l.Key == "" {
-				t.Errorf("got a row without a key from %q, want a fault", text)
+				t.Errorf("got a row without a key from %q, want an error", text)
 			}
 		}
 	})
--- a/tablefile/script_test.go
+++ b/tablefile/script_test.go
@@ -10,7 +10,8 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// TestScripts reads the inputs of testdata as "csv kind=K" or "yaml" and prints the rows, or every fault.
+// TestScripts runs the files of testdata. The commands "csv kind=K" and "yaml" read their input in that format and print the rows,
+// or every error.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
@@ -39,7 +40,7 @@
 	})
 }
 
-// TestRoundTrip writes rows in both forms and reads them back.
+// TestRoundTrip writes a row as CSV and as YAML and checks that reading it back gives the same cells.
 func TestRoundTrip(t *testing.T) {
 	row, err := table.NewRow(table.KindEndpoint, "e1", []string{"dd", "h1", "hall, one", "127.0.0.1:1", "3"})
 	if err != nil {
--- a/tablefile/yaml.go
+++ b/tablefile/yaml.go
@@ -10,8 +10,8 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// ReadYAML reads declarations: sheets by name, in each the rows by key, in each the cells by column. It returns every
-// fault at once, each with file, line and field.
+// ReadYAML reads rows from a mapping of sheet names to mappings of row keys to mappings of column names to cells. The error lists
+// every invalid entry, with file, line and field.
 func ReadYAML(name string, text []byte) ([]Line, error) {
 	var root yaml.Node
 	if err := yaml.Unmarshal(text, &root); err != nil {
@@ -20,75 +20,75 @@
 	if len(root.Content) == 0 {
 		return nil, nil
 	}
-	d := declarations{name: name}
-	d.entries(root.Content[0], d.sheet)
-	return d.lines, d.bad.OrNil()
+	p := yamlParser{name: name}
+	p.visitEntries(root.Content[0], p.parseSheet)
+	return p.lines, p.faults.OrNil()
 }
 
-type declarations struct {
-	name  string
-	lines []Line
-	bad   fault.ListError
+type yamlParser struct {
+	name   string
+	lines  []Line
+	faults fault.ListError
 }
 
-func (d *declarations) where(n *yaml.Node) string { return d.name + ":" + strconv.Itoa(n.Line) }
+func (p *yamlParser) location(n *yaml.Node) string { return p.name + ":" + strconv.Itoa(n.Line) }
 
-func (d *declarations) fail(n *yaml.Node, field, detail string) {
-	where := d.where(n)
+func (p *yamlParser) addFault(n *yaml.Node, field, detail string) {
+	where := p.location(n)
 	if field != "" {
 		where += ": " + field
 	}
-	d.bad = append(d.bad, fault.New(fault.BadRow, where, detail))
+	p.faults = append(p.faults, fault.New(fault.BadRow, where, detail))
 }
 
-// entries visits a mapping and refuses keys that stand twice.
-func (d *declarations) entries(n *yaml.Node, visit func(key, value *yaml.Node)) {
+// visitEntries calls visit for each entry of a mapping, and adds a fault for each key that occurs more than once.
+func (p *yamlParser) visitEntries(n *yaml.Node, visit func(key, value *yaml.Node)) {
 	if n.Kind == yaml.ScalarNode && n.Tag == "!!null" {
 		return
 	}
 	if n.Kind != yaml.MappingNode {
-		d.fail(n, "", "want a mapping")
+		p.addFault(n, "", "want a mapping")
 		return
 	}
 	seen := make(map[string]bool)
 	for i := 0; i+1 < len(n.Content); i += 2 {
 		key := n.Content[i]
 		if seen[key.Value] {
-			d.fail(key, key.Value, "stands twice")
+			p.addFault(key, key.Value, "stands twice")
 		}
 		seen[key.Value] = true
 		visit(key, n.Content[i+1])
 	}
 }
 
-func (d *declarations) sheet(key, value *yaml.Node) {
+func (p *yamlParser) parseSheet(key, value *yaml.Node) {
 	sheet, err := table.SheetNamed(key.Value)
 	if err != nil {
-		d.fail(key, key.Value, "no such kind of row")
+		p.addFault(key, key.Value, "no such kind of row")
 		return
 	}
-	d.entries(value, func(rowKey, cells *yaml.Node) { d.row(sheet, rowKey, cells) })
+	p.visitEntries(value, func(rowKey, cells *yaml.Node) { p.parseRow(sheet, rowKey, cells) })
 }
 
-func (d *declarations) row(sheet table.Sheet, key, value *yaml.Node) {
+func (p *yamlParser) parseRow(sheet table.Sheet, key, value *yaml.Node) {
 	cells := make([]string, len(sheet.Columns))
-	d.entries(value, func(column, cell *yaml.Node) {
-		at, err := sheet.Column(column.Value)
+	p.visitEntries(value, func(column, cell *yaml.Node) {
+		index, err := sheet.Column(column.Value)
 		switch {
 		case err != nil:
-			d.fail(column, sheet.Name+" "+key.Value+" "+column.Value, "no such column")
+			p.addFault(column, sheet.Name+" "+key.Value+" "+column.Value, "no such column")
 		case cell.Kind != yaml.ScalarNode:
-			d.fail(cell, sheet.Name+" "+key.Value+" "+column.Value, "want one value")
+			p.addFault(cell, sheet.Name+" "+key.Value+" "+column.Value, "want one value")
 		default:
-			cells[at] = cell.Value
+			cells[index] = cell.Value
 		}
 	})
 	row, err := table.NewRow(sheet.Kind, key.Value, cells)
-	d.bad = append(d.bad, placed(d.where(key), err)...)
-	d.lines = append(d.lines, Line{Row: row, Where: d.where(key)})
+	p.faults = append(p.faults, withLocation(p.location(key), err)...)
+	p.lines = append(p.lines, Line{Row: row, Where: p.location(key)})
 }
 
-// WriteYAML writes rows of any kinds as declarations that ReadYAML reads.
+// WriteYAML writes rows of any kinds in the form that ReadYAML reads.
 func WriteYAML(w io.Writer, rows []table.Row) error {
 	root := &yaml.Node{Kind: yaml.MappingNode}
 	sheets := make(map[table.Kind]*yaml.Node)
