--- a/table/announced_test.go
+++ b/table/announced_test.go
@@ -8,8 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestAnnouncedEndpointsIndependentOfHistory applies random lists of announced endpoints in succession and checks that each gives
-// the same result as on a state without endpoints: the same rows, and services that list just these endpoints.
+// TestAnnouncedEndpointsIndependentOfHistory applies random lists of announced endpoints in succession and checks that
+// each gives the same result as on a state without endpoints: the same rows, and services that list just these
+// endpoints.
 func TestAnnouncedEndpointsIndependentOfHistory(t *testing.T) {
 	service, err := NewRow(KindService, "s0", nil)
 	if err != nil {
@@ -33,8 +34,8 @@
 	})
 }
 
-// TestRepeatedAnnouncementsKeepState checks that a list of announced endpoints equal to the current one returns the same state, so
-// that no change is reported.
+// TestRepeatedAnnouncementsKeepState checks that a list of announced endpoints equal to the current one returns the
+// same state, so that no change is reported.
 func TestRepeatedAnnouncementsKeepState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := drawAnnounced(t)
--- a/table/apply.go
+++ b/table/apply.go
@@ -20,16 +20,16 @@
 	To uint64
 	// Full marks a delta that holds all rows of the source.
 	Full bool
-	// Steps are the revisions between From and To to which the delta can be applied as well, because its rows include all changes
-	// since then. They are set only for a source that is read as snapshots.
+	// Steps are the revisions between From and To to which the delta can be applied as well, because its rows include
+	// all changes since then. They are set only for a source that is read as snapshots.
 	Steps []uint64
 	// Rows are the changed rows, or all rows if Full.
 	Rows []Row
 }
 
-// With returns the state after a delta. A delta that does not lead to a newer revision, or that misses changes between the state's
-// revision and its own, returns the state unchanged; a delta that starts after the state's revision is refused. A row that cannot
-// be decoded does not affect other rows: see UndecodableRow.
+// With returns the state after a delta. It returns the state unchanged if the delta does not lead to a newer revision or
+// lacks changes since the state's revision, and an error if the delta starts after that revision. A row that cannot be
+// decoded does not affect other rows: see UndecodableRow.
 //
 // Invariant: no source's revision of the result is below that of s, and no row goes back to an older revision.
 func (s *State) With(d Delta) (*State, error) {
@@ -56,17 +56,20 @@
 	return &next, nil
 }
 
-// coversSince reports whether the delta holds all changes since a revision that is not before its start. For a source that is read
-// as snapshots only certain revisions qualify: the sender of the delta does not know the changes of the ones that it skipped.
+// coversSince reports whether the delta holds all changes since a revision that is not before its start. For a source
+// that is read as snapshots only certain revisions qualify: the sender of the delta does not know the changes of the
+// ones that it skipped.
 func (d Delta) coversSince(revision uint64) bool {
 	return d.Full || !d.Source.snapshotOnly() || d.From == revision || slices.Contains(d.Steps, revision)
 }
 
-// WithEndpoints returns the state with exactly the given announced endpoints, at a revision of SourceHosts. Unlike the rows of
-// other sources, each node assembles these itself, so that it sees its local endpoint before the store has its announcement.
+// WithEndpoints returns the state with exactly the given announced endpoints, at a revision of SourceHosts. Unlike the
+// rows of other sources, each node assembles these itself, so that it sees its local endpoint before the store has its
+// announcement.
 //
-// Only endpoints that differ are encoded as rows. Each announcement of any host causes a call with the complete list, in every
-// node, and encoding and decoding hundreds of rows for one changed host cost a hundred times as much (BenchmarkCapacityAnnounced).
+// Only endpoints that differ are encoded as rows. Each announcement of any host causes a call with the complete list,
+// in every node, and encoding and decoding hundreds of rows for one changed host cost a hundred times as much
+// (BenchmarkCapacityAnnounced).
 func (s *State) WithEndpoints(revision uint64, announced []Announced) *State {
 	next := *s
 	next.announcements++
@@ -103,9 +106,9 @@
 	b.finish()
 }
 
-// fullToChanges turns a full delta into changes: its rows, and deletions of the rows of the source that it lacks. For a source
-// that is read as snapshots, unchanged rows are left out and changed rows get the delta's end as their revision: the sender may
-// have read other revisions than this state, so that the revisions it gave the rows do not apply here.
+// fullToChanges turns a full delta into changes: its rows, and deletions of the rows of the source that it lacks. For a
+// source that is read as snapshots, unchanged rows are left out and changed rows get the delta's end as their revision:
+// the sender may have read other revisions than this state, so that the revisions it gave the rows do not apply here.
 func (s *State) fullToChanges(d Delta) []Row {
 	present := make(map[RowID]bool, len(d.Rows))
 	rows := make([]Row, 0, len(d.Rows))
@@ -136,11 +139,11 @@
 	return ok && old.Source == src && slices.Equal(old.Cells, row.Cells)
 }
 
-// changesSince returns the changes after a revision, sorted by revision, because a delta that covers several revisions may hold
-// its rows in any order.
+// changesSince returns the changes after a revision, sorted by revision, because a delta that covers several revisions
+// may hold its rows in any order.
 //
-// Invariant: the changes in a history are sorted by revision. State.Since searches backwards and stops at the first change that is
-// too old; without the order it once omitted the deletion of a route from a delta for a peer.
+// Invariant: the changes in a history are sorted by revision. State.Since searches backwards and stops at the first
+// change that is too old; without the order it once omitted the deletion of a route from a delta for a peer.
 func changesSince(revision uint64, rows []Row) []change {
 	var out []change
 	for _, row := range rows {
@@ -152,8 +155,8 @@
 	return out
 }
 
-// extendHistory adds a delta's changes to the history of the old state. A full delta starts an empty history, unless the source is
-// read as snapshots and the old state already has a revision of it.
+// extendHistory adds a delta's changes to the history of the old state. A full delta starts an empty history, unless
+// the source is read as snapshots and the old state already has a revision of it.
 func (s *State) extendHistory(old *State, d Delta) {
 	h := &s.histories[d.Source]
 	if d.Full && (!d.Source.snapshotOnly() || old.revisions[d.Source] == 0) {
@@ -173,8 +176,8 @@
 type builder struct {
 	state  *State
 	source Source
-	// views are the services that may have changed, by key; routes are the routes that may have changed, by host name in lower
-	// case. finish sorts both and stores them in the state.
+	// views are the services that may have changed, by key; routes are the routes that may have changed, by host name
+	// in lower case. finish sorts both and stores them in the state.
 	views  map[string]*ServiceView
 	routes map[string][]Entry[Route]
 }
@@ -319,7 +322,8 @@
 	return nil
 }
 
-// updateKeyHolders applies change to the names of the customers that have a key; change may modify the slice that it gets.
+// updateKeyHolders applies change to the names of the customers that have a key; change may modify the slice that it
+// gets.
 func (b *builder) updateKeyHolders(d KeyDigest, change func(names []string) []string) {
 	digest := string(d[:])
 	old, _ := b.state.customersByKey.Get(digest)
--- a/table/capacity_test.go
+++ b/table/capacity_test.go
@@ -112,8 +112,8 @@
 	})
 }
 
-// BenchmarkCapacityAnnounced reports the time in which a node applies the changed announcement of one host, by the number of hosts.
-// Each host has one endpoint; the state also holds 500 routes.
+// BenchmarkCapacityAnnounced reports the time in which a node applies the changed announcement of one host, by the
+// number of hosts. Each host has one endpoint; the state also holds 500 routes.
 func BenchmarkCapacityAnnounced(b *testing.B) {
 	for _, n := range []int{30, 300, 3000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/table/columns.go
+++ b/table/columns.go
@@ -124,8 +124,8 @@
 // invalidSecret replaces a secret cell that is invalid, so that the row never carries its text.
 const invalidSecret = "?"
 
-// NewRow returns a row with the canonical text of each cell; the error lists every invalid cell. An empty or missing cell takes the
-// column's default.
+// NewRow returns a row with the canonical text of each cell; the error lists every invalid cell. An empty or missing
+// cell takes the column's default.
 func NewRow(kind Kind, key string, cells []string) (Row, error) {
 	sheet, err := SheetOf(kind)
 	if err != nil {
@@ -186,7 +186,8 @@
 	return value, nil
 }
 
-// decodeCells returns the value of the cells that can be decoded, and an error for each that cannot, in the order of the columns.
+// decodeCells returns the value of the cells that can be decoded, and an error for each that cannot, in the order of
+// the columns.
 func decodeCells[T any](r Row) (value T, bad fault.ListError) {
 	sheet, err := SheetOf(r.Kind)
 	if err != nil {
--- a/table/configurations_test.go
+++ b/table/configurations_test.go
@@ -9,11 +9,12 @@
 	"pgregory.net/rapid"
 )
 
-// These tests guard against an incident: after an outage of the store, a node that had the revision of the newest configuration
-// still routed requests by the one before. Of configurations written in quick succession some nodes read each and others skip
-// some. A node that has skipped a configuration does not know its changes; it sent a peer at just that configuration only the
-// changes that it had seen itself, so that rows changed and changed back, or added and removed, stayed wrong at the peer. The
-// simulated nodes below, which read the store and exchange deltas in any order, reproduced the fault.
+// These tests guard against an incident: after an outage of the store, a node that had the revision of the newest
+// configuration still routed requests by the one before. Of configurations written in quick succession some nodes read
+// each and others skip some. A node that has skipped a configuration does not know what changed in it. To a peer at just
+// that configuration it sent only the changes that it had seen itself, so that rows changed and changed back, or added
+// and removed, stayed wrong at the peer. The simulated nodes below, which read the store and exchange deltas in any order,
+// reproduced the fault.
 
 // configuration is one revision of the configuration that the platform's operators write.
 type configuration struct {
@@ -55,8 +56,8 @@
 	return cellsByKey(rows)
 }
 
-// TestConfigurationsArriveInAnyOrder checks that a node at a given revision of the configuration has exactly the rows of that
-// revision, whatever the order and delay in which nodes read the store and exchange deltas.
+// TestConfigurationsArriveInAnyOrder checks that a node at a given revision of the configuration has exactly the rows
+// of that revision, whatever the order and delay in which nodes read the store and exchange deltas.
 func TestConfigurationsArriveInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		history := map[uint64]configuration{}
--- a/table/halls.go
+++ b/table/halls.go
@@ -32,8 +32,8 @@
 	return bool(h.Value.Evacuated) || platform
 }
 
-// EvacuatedHalls returns the evacuated halls, sorted by name. For a hall that both the product's and the platform's operators
-// have evacuated it returns the platform's evacuation.
+// EvacuatedHalls returns the evacuated halls, sorted by name. For a hall that both the product's and the platform's
+// operators have evacuated it returns the platform's evacuation.
 func (s *State) EvacuatedHalls() []EvacuatedHall {
 	found := make(map[string]EvacuatedHall)
 	for it := s.halls.Iterator(); !it.Done(); {
@@ -58,8 +58,8 @@
 	return h.Value.Region
 }
 
-// RegionRulesHash returns a hash of the regions of all routes and customers whose data is restricted to certain regions, and of
-// all halls with a region. It changes whenever one of these changes.
+// RegionRulesHash returns a hash of the regions of all routes and customers whose data is restricted to certain
+// regions, and of all halls with a region. It changes whenever one of these changes.
 func (s *State) RegionRulesHash() uint64 {
 	var sum uint64
 	add := func(kind Kind, key string, regions Names) {
@@ -83,8 +83,8 @@
 	return sum
 }
 
-// RegionsFor returns the regions in which the data of a customer's requests to a route may be: those that both the route and the
-// customer allow.
+// RegionsFor returns the regions in which the data of a customer's requests to a route may be: those that both the
+// route and the customer allow.
 func (s *State) RegionsFor(r Route, customer string) region.Set {
 	c, _ := s.Customer(customer)
 	return region.Any.With(r.Regions.List()).With(c.Value.Regions.List())
--- a/table/history_test.go
+++ b/table/history_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// TestDeltaOfSeveralRevisionsInAnyOrder applies a delta that holds the changes of two revisions, the later one first, as peers send
-// them, and checks that a delta from the first of the two contains the change of the second. It used to be empty, so that a peer
-// kept using a route that had been deleted.
+// TestDeltaOfSeveralRevisionsInAnyOrder applies a delta that holds the changes of two revisions, the later one first,
+// as peers send them, and checks that a delta from the first of the two contains the change of the second. It used to
+// be empty, so that a peer kept using a route that had been deleted.
 func TestDeltaOfSeveralRevisionsInAnyOrder(t *testing.T) {
 	for _, source := range []Source{SourceRows, SourceConfig} {
 		t.Run(source.String(), func(t *testing.T) {
--- a/table/keys.go
+++ b/table/keys.go
@@ -12,12 +12,12 @@
 // plainKeyPrefix marks a cell's key that is given in plain text; only its digest is stored.
 const plainKeyPrefix = "plain:"
 
-// digestBytes is the length to which a key's SHA-256 is truncated. With 440,000 keys the probability that any two different keys
-// have the same digest is 1 in 10^27.
+// digestBytes is the length to which a key's SHA-256 is truncated. With 440,000 keys the probability that any two
+// different keys have the same digest is 1 in 10^27.
 const digestBytes = 16
 
-// KeyDigest is the digest of a customer's key. The key itself is never stored, so that no row, log line or message can disclose
-// it, and a lookup by digest does not reveal through its duration how much of a guessed key is right.
+// KeyDigest is the digest of a customer's key. The key itself is never stored, so that no row, log line or message can
+// disclose it, and a lookup by digest does not reveal through its duration how much of a guessed key is right.
 type KeyDigest [digestBytes]byte
 
 // DigestKey returns the digest of a plain-text key.
@@ -52,8 +52,8 @@
 	return []byte(strings.Join(texts, ",")), nil
 }
 
-// UnmarshalText parses digests, and keys given as "plain:KEY", which it replaces by their digests; it fails with BadRow for
-// anything else. The error never contains the text, which may be a key.
+// UnmarshalText parses digests, and keys given as "plain:KEY", which it replaces by their digests; it fails with BadRow
+// for anything else. The error never contains the text, which may be a key.
 func (k *Keys) UnmarshalText(text []byte) error {
 	k.digests = nil
 	if len(text) == 0 {
--- a/table/rows.go
+++ b/table/rows.go
@@ -19,7 +19,8 @@
 	KindHost
 	// KindListener is a row of type Listener.
 	KindListener
-	// KindPoison is a row of type PoisonRequest, which nodes write and operators can only delete. Its printed name is "fatal".
+	// KindPoison is a row of type PoisonRequest, which nodes write and operators can only delete. Its printed name is
+	// "fatal".
 	KindPoison
 	// KindHall is a row of type Hall.
 	KindHall
@@ -91,7 +92,8 @@
 	Open YesNo `col:"open" default:"no" help:"whether callers need no customer's key: no or yes"`
 	// Closed makes nodes refuse all requests of the route.
 	Closed YesNo `col:"closed" default:"no" help:"whether its requests are refused: no or yes"`
-	// Regions are the only regions in which the requests may be served and any of their data stored; empty for any region.
+	// Regions are the only regions in which the requests may be served and any of their data stored; empty for any
+	// region.
 	Regions Names `col:"regions" help:"regions that its data may be in, with commas, empty for any"`
 }
 
@@ -126,7 +128,8 @@
 	Keys Keys `col:"keys" secret:"yes" help:"digests of its keys; a key written as plain:KEY becomes one at once"`
 	// Closed makes nodes refuse all requests of the customer.
 	Closed YesNo `col:"closed" default:"no" help:"whether its requests are refused: no or yes"`
-	// Regions are the only regions in which the requests may be served and any of their data stored; empty for any region.
+	// Regions are the only regions in which the requests may be served and any of their data stored; empty for any
+	// region.
 	Regions Names `col:"regions" help:"regions that its data may be in, with commas, empty for any"`
 }
 
@@ -143,7 +146,8 @@
 	At Moment `col:"at" help:"when the last of them ended"`
 }
 
-// Host is the phase that an operator has set for a host. Which hosts exist is known from the platform's list, not from these rows.
+// Host is the phase that an operator has set for a host. Which hosts exist is known from the platform's list, not from
+// these rows.
 type Host struct {
 	// Phase says whether the host's endpoints take new work.
 	Phase Phase `col:"phase" default:"active" help:"active, draining or retired"`
@@ -156,7 +160,8 @@
 	// Since is when the evacuation began, By who ordered it; both may be empty.
 	Since Moment `col:"since" help:"when it was evacuated"`
 	By    string `col:"by" help:"who evacuated it"`
-	// Region is the region of the hall, which decides whether data of a route or customer restricted to certain regions may be there.
+	// Region is the region of the hall, which decides whether data of a route or customer restricted to certain regions
+	// may be there.
 	Region string `col:"region" help:"region of the hall, for routes and customers whose data may be in some alone"`
 }
 
@@ -170,7 +175,8 @@
 type Meta struct {
 	// Version is the platform's count of writes to the row, 0 before the first write.
 	Version uint64
-	// Revision is the revision of the row's source at which the row last changed; it is the same in the whole fleet.
+	// Revision is the revision of the row's source at which the row last changed. It is the same in the whole fleet, except
+	// for SourceHosts: there each node counts the changes itself (see State.WithEndpoints).
 	Revision uint64
 	// Source is where the row comes from.
 	Source Source
@@ -197,8 +203,8 @@
 	Cells []string
 }
 
-// Trimmed returns the row without the trailing cells whose text is that of an empty cell. An older version of the program, which
-// lacks the newest columns, can then decode the row unless it uses these columns.
+// Trimmed returns the row without the trailing cells whose text is that of an empty cell. An older version of the
+// program, which lacks the newest columns, can then decode the row unless it uses these columns.
 func (r Row) Trimmed() Row {
 	sheet, err := SheetOf(r.Kind)
 	if err != nil {
--- a/table/source.go
+++ b/table/source.go
@@ -1,7 +1,7 @@
 package table
 
-// Source says where a configuration row comes from. Each source counts its own revisions. A row belongs to one source; of two
-// rows with the same kind and key, the one whose source comes later in the list of sources takes precedence.
+// Source says where a configuration row comes from. Each source counts its own revisions. A row belongs to one source;
+// of two rows with the same kind and key, the one whose source comes later in the list of sources takes precedence.
 //
 // Outside this process (wire, settings, printed names) a source is called a plane.
 type Source uint8
@@ -38,8 +38,8 @@
 // Valid reports whether this version of the program defines the source.
 func (s Source) Valid() bool { return s < sourceCount }
 
-// snapshotOnly reports whether a node reads the source only as whole snapshots and may therefore miss revisions: the store keeps
-// just the newest configuration. Rows of the other sources carry the revisions at which they changed.
+// snapshotOnly reports whether a node reads the source only as whole snapshots and may therefore miss revisions: the
+// store keeps just the newest configuration. Rows of the other sources carry the revisions at which they changed.
 func (s Source) snapshotOnly() bool { return s == SourceConfig }
 
 // Revisions holds the current revision of each source.
--- a/table/state.go
+++ b/table/state.go
@@ -21,8 +21,8 @@
 	Address string `json:"address"`
 	// Leaving is set while the host's node is stopping.
 	Leaving bool `json:"leaving,omitempty"`
-	// Incarnation identifies the run of the node that wrote the announcement. A later run does not rewrite an announcement that
-	// already has the right content.
+	// Incarnation identifies the run of the node that wrote the announcement. A later run does not rewrite an
+	// announcement that already has the right content.
 	Incarnation uint64 `json:"incarnation,omitempty"`
 	// Endpoints are the host's endpoints that have announced themselves to the node.
 	Endpoints []Announced `json:"endpoints,omitempty"`
@@ -67,13 +67,13 @@
 	changes []change
 	// completeAfter is the revision after which changes holds every change.
 	completeAfter uint64
-	// steps are, for a source that is read as snapshots, the latest revisions since which the changes are known, in ascending order:
-	// a row has changed since such a revision only if the row's own revision is higher.
+	// steps are, for a source that is read as snapshots, the latest revisions since which the changes are known, in
+	// ascending order: a row has changed since such a revision only if the row's own revision is higher.
 	steps []uint64
 }
 
-// maxSteps is how many steps a history keeps. It may be small: a change reaches all nodes within seconds, in which few other
-// changes occur.
+// maxSteps is how many steps a history keeps. It may be small: a change reaches all nodes within seconds, in which few
+// other changes occur.
 const maxSteps = 64
 
 // stepsAfter returns the steps that a history has once a delta has been applied.
@@ -113,7 +113,8 @@
 	// undecodable holds the rows that cannot be decoded, unchanged.
 	undecodable *immutable.Map[string, UndecodableRow]
 	histories   [sourceCount]history
-	// announcements counts the changes that WithEndpoints has made in this node; it is the revision of the rows it writes.
+	// announcements counts the changes that WithEndpoints has made in this node; it is the revision of the rows it
+	// writes.
 	announcements uint64
 }
 
@@ -241,8 +242,8 @@
 	return rest == "" || strings.HasSuffix(prefix, "/") || rest[0] == '/'
 }
 
-// Shadowed reports whether another route of a source, changed since a revision, takes precedence over r for some of r's requests:
-// a route with a longer prefix or, if r is for any host, a route for a particular host.
+// Shadowed reports whether another route of a source, changed since a revision, takes precedence over r for some of r's
+// requests: a route with a longer prefix or, if r is for any host, a route for a particular host.
 func (s *State) Shadowed(r Entry[Route], src Source, since uint64) bool {
 	later := func(o Entry[Route]) bool { return o.Source == src && o.Revision > since && o.Key != r.Key }
 	longer := func(o Entry[Route]) bool { return later(o) && strings.HasPrefix(o.Value.Prefix, r.Value.Prefix) }
@@ -333,7 +334,8 @@
 	})
 }
 
-// KnowsChangesSince reports whether the revisions of the rows show what has changed since an earlier revision of a source.
+// KnowsChangesSince reports whether the revisions of the rows show what has changed since an earlier revision of a
+// source.
 //
 // Invariant: if it returns true, every row without a higher revision is the same as at that revision.
 func (s *State) KnowsChangesSince(src Source, revision uint64) bool {
--- a/table/state_test.go
+++ b/table/state_test.go
@@ -126,9 +126,9 @@
 	return b.String()
 }
 
-// TestDeltasAgree is a state-machine test: a leader applies random changes one by one; a follower receives deltas in any order,
-// some of them twice, and full deltas. The follower's revision never decreases, and after a delta from the leader's newest state
-// the follower has the same rows.
+// TestDeltasAgree is a state-machine test: a leader applies random changes one by one; a follower receives deltas in
+// any order, some of them twice, and full deltas. The follower's revision never decreases, and after a delta from the
+// leader's newest state the follower has the same rows.
 func TestDeltasAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		states := []*State{NewState()}
--- a/table/undecodable.go
+++ b/table/undecodable.go
@@ -5,12 +5,12 @@
 	"strings"
 )
 
-// UndecodableRow is a row that this version of the program cannot decode completely because a later version or another program
-// wrote it.
+// UndecodableRow is a row that this version of the program cannot decode completely because a later version or another
+// program wrote it.
 //
-// The row is stored unchanged, so that peers receive it as it was written. The cells that can be decoded are active, the others
-// count as empty. Whatever the undecodable cells might forbid is forbidden: a route or customer is closed, an endpoint or host
-// takes no new work, a hall is evacuated.
+// The row is stored unchanged, so that peers receive it as it was written. The cells that can be decoded are active,
+// the others count as empty. Whatever the undecodable cells might forbid is forbidden: a route or customer is closed,
+// an endpoint or host takes no new work, a hall is evacuated.
 type UndecodableRow struct {
 	Row
 	// Detail says which cell cannot be decoded and why.
@@ -27,7 +27,8 @@
 
 func undecodableKey(id RowID) string { return strconv.Itoa(int(id.Kind)) + "/" + id.Key }
 
-// newerThanUndecodable reports whether a row replaces the undecodable row of the same kind and key; true if there is none.
+// newerThanUndecodable reports whether a row replaces the undecodable row of the same kind and key; true if there is
+// none.
 func (b *builder) newerThanUndecodable(row Row) bool {
 	u, ok := b.state.undecodable.Get(undecodableKey(row.ID()))
 	return !ok || !outranks(u.Meta, row)
@@ -51,7 +52,8 @@
 	b.state.undecodable = b.state.undecodable.Set(undecodableKey(row.ID()), UndecodableRow{Row: row, Detail: cause.Error()})
 }
 
-// restricted returns the row with its undecodable cells emptied and with everything forbidden that those cells might forbid.
+// restricted returns the row with its undecodable cells emptied and with everything forbidden that those cells might
+// forbid.
 func (b *builder) restricted(row Row) Row {
 	switch row.Kind {
 	case KindService:
--- a/table/values.go
+++ b/table/values.go
@@ -95,7 +95,7 @@
 	Active Phase = iota
 	// Draining means that it takes no new work and finishes its requests in flight.
 	Draining
-	// Retired means that it has no work and is about to be removed.
+	// Retired means that it takes no work and is about to be removed.
 	Retired
 )
 
@@ -139,7 +139,7 @@
 	return err
 }
 
-// YesNo is a boolean with the text form "no" or "yes".
+// YesNo is a boolean with the text form "no" or "yes"; the zero value is "no".
 type YesNo bool
 
 // yesNoNames holds the text forms of false and true.
@@ -248,7 +248,8 @@
 	return b, nil
 }
 
-// UnmarshalText parses parts such as "a=90,b=10", or no text; it fails with BadRow for any other text and if all weights are zero.
+// UnmarshalText parses parts such as "a=90,b=10", or no text; it fails with BadRow for any other text and if all
+// weights are zero.
 func (s *Split) UnmarshalText(text []byte) error {
 	s.parts = nil
 	if len(text) == 0 {
--- a/tablefile/csv.go
+++ b/tablefile/csv.go
@@ -27,8 +27,8 @@
 	Versioned bool
 }
 
-// ReadCSV reads the rows of one sheet. The error lists every fault, with file, line and column. Columns may be in any order
-// and may be missing; an empty or missing cell takes the column's default.
+// ReadCSV reads the rows of one sheet. The error lists every fault, with file, line and column. Columns may be in any
+// order and may be missing; an empty or missing cell takes the column's default.
 func ReadCSV(name string, r io.Reader, sheet table.Sheet) ([]Line, error) {
 	reader := csv.NewReader(r)
 	reader.FieldsPerRecord = -1
--- a/tablefile/dir.go
+++ b/tablefile/dir.go
@@ -34,8 +34,8 @@
 	return nil, fault.New(fault.BadRow, path, "want a .yaml or .csv file")
 }
 
-// ReadDir reads all .yaml, .yml and .csv files of a directory. The error lists every fault of a file and all rows that are given more
-// than once.
+// ReadDir reads all .yaml, .yml and .csv files of a directory. The error lists every fault of a file and all rows that
+// are given more than once.
 func ReadDir(dir string) ([]Line, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
--- a/tablefile/fuzz_test.go
+++ b/tablefile/fuzz_test.go
@@ -7,8 +7,8 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// FuzzYAML checks that ReadYAML returns rows or an error for arbitrary text but never panics, and that the rows can be written and
-// read back without losing any.
+// FuzzYAML checks that ReadYAML returns rows or an error for arbitrary text but never panics, and that the rows can be
+// written and read back without losing any.
 func FuzzYAML(f *testing.F) {
 	f.Add([]byte("service: {a: {floor: 50%}}"))
 	f.Add([]byte("endpoint: {e: {service: a, host: h, hall: x, address: '127.0.0.1:1'}}"))
--- a/tablefile/script_test.go
+++ b/tablefile/script_test.go
@@ -10,8 +10,8 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// TestScripts runs the files of testdata. The commands "csv kind=K" and "yaml" read their input in that format and print the rows,
-// or every error.
+// TestScripts runs the files of testdata. The commands "csv kind=K" and "yaml" read their input in that format and
+// print the rows, or every error.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
--- a/tablefile/yaml.go
+++ b/tablefile/yaml.go
@@ -10,8 +10,8 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// ReadYAML reads rows from a mapping of sheet names to mappings of row keys to mappings of column names to cells. The error lists
-// every invalid entry, with file, line and field.
+// ReadYAML reads rows from a mapping of sheet names to mappings of row keys to mappings of column names to cells. The
+// error lists every invalid entry, with file, line and field.
 func ReadYAML(name string, text []byte) ([]Line, error) {
 	var root yaml.Node
 	if err := yaml.Unmarshal(text, &root); err != nil {
