--- a/admission/queue.go
+++ b/admission/queue.go
@@ -21,12 +21,12 @@
 	// NoWait refuses the request as Busy when no slot is free.
 	NoWait bool
 	// Aim is when the answer loses most of its worth; the zero time stands for the deadline.
-	Aim time.Time
+	TargetTime time.Time
 	// Deadline is when the answer is no longer of use.
 	Deadline time.Time
 	// Work is how long such work takes; 0 stands for the usual time of all work. An endpoint's work is of very different
 	// lengths: without it, a lookup of a millisecond was refused for the half second that a booking beside it takes.
-	Work time.Duration
+	ServiceTime time.Duration
 }
 
 // Action says what becomes of a request.
@@ -200,8 +200,8 @@
 
 // work is how long a request's own work takes.
 func (q *Queue) work(r Request) time.Duration {
-	if r.Work > 0 {
-		return r.Work
+	if r.ServiceTime > 0 {
+		return r.ServiceTime
 	}
 	return spanOf(q.typical())
 }
@@ -213,10 +213,10 @@
 
 // latest is when an answer must come for its request to wait.
 func (q *Queue) latest(r Request) time.Time {
-	if r.Aim.IsZero() {
+	if r.TargetTime.IsZero() {
 		return r.Deadline
 	}
-	late := r.Aim.Add(lateGrace * q.work(r))
+	late := r.TargetTime.Add(lateGrace * q.work(r))
 	if late.Before(r.Deadline) {
 		return late
 	}
@@ -224,7 +224,7 @@
 }
 
 // Typical returns the usual service time with an allowance for its spread.
-func (q *Queue) Typical() time.Duration { return spanOf(q.typical()) }
+func (q *Queue) TypicalServiceTime() time.Duration { return spanOf(q.typical()) }
 
 // typical is the usual service time with an allowance for its spread, in seconds.
 func (q *Queue) typical() float64 { return q.service + q.spread }
@@ -287,7 +287,7 @@
 // work than slots, first come first served would answer everything late; late answers get the slots that are left.
 func (q *Queue) first(now time.Time) int {
 	for i, w := range q.queue {
-		if w.Aim.IsZero() || now.Add(q.least(w.Request)).Before(w.Aim) {
+		if w.TargetTime.IsZero() || now.Add(q.least(w.Request)).Before(w.TargetTime) {
 			return i
 		}
 	}
@@ -296,8 +296,8 @@
 
 // least is how long a request's work takes without an allowance for its spread.
 func (q *Queue) least(r Request) time.Duration {
-	if r.Work > 0 {
-		return min(r.Work, spanOf(q.service))
+	if r.ServiceTime > 0 {
+		return min(r.ServiceTime, spanOf(q.service))
 	}
 	return spanOf(q.service)
 }
--- a/admission/script_test.go
+++ b/admission/script_test.go
@@ -36,7 +36,7 @@
 				if d.HasArg("work") {
 					text := ""
 					d.ScanArgs(t, "work", &text)
-					r.Work, _ = time.ParseDuration(text)
+					r.ServiceTime, _ = time.ParseDuration(text)
 				}
 				decision, evicted := q.Offer(now, r)
 				out = append([]Decision{decision}, evicted...)
--- a/announce/calls_test.go
+++ b/announce/calls_test.go
@@ -57,7 +57,7 @@
 			}, &log, counted)
 			snap := &configsync.Snapshot{State: table.NewState(), Ready: true}
 			if c.shown {
-				snap.SelfLine, _ = line(t, s)
+				snap.StoredAnnouncement, _ = line(t, s)
 			}
 			a.Observe(snap)
 			if err := a.Start(t.Context()); err != nil {
@@ -90,7 +90,7 @@
 		Host:  table.HostInfo{ID: "h1", Hall: "hall-1", Address: "127.0.0.1:1", Incarnation: 2},
 		Retry: 5 * time.Millisecond, Timeout: time.Second,
 	}, &log, store.NewLocal(s))
-	second.Observe(&configsync.Snapshot{State: table.NewState(), SelfLine: h, Ready: true})
+	second.Observe(&configsync.Snapshot{State: table.NewState(), StoredAnnouncement: h, Ready: true})
 	if err := second.Start(t.Context()); err != nil {
 		t.Fatal(err)
 	}
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -19,11 +19,11 @@
 	Latency time.Duration
 	// Far is set for an endpoint of another hall, which is chosen only when those of the own hall are full: the way costs
 	// time and the links between halls are dear.
-	Far bool
+	OtherHall bool
 	// Distance is the time that the way there and back takes.
-	Distance time.Duration
+	RTT time.Duration
 	// SuccessShare is the recent share of good answers, 0 to 1.
-	SuccessShare float64
+	SuccessRate float64
 	// Suspect is judged by its load alone: steering work away from it would starve the detector of the evidence that
 	// clears it or takes it out.
 	Suspect bool
@@ -47,12 +47,12 @@
 	if latency == 0 {
 		latency = defaultLatency
 	}
-	success := max(c.SuccessShare, leastSuccess)
+	success := max(c.SuccessRate, leastSuccess)
 	slots := float64(max(c.Slots, 1))
 	waiting := max(0, float64(c.Outstanding)+1-slots) / slots
 	busy := float64(c.Outstanding) / slots
 	work := latency.Seconds() * (1 + waiting + busy/2)
-	return (work + c.Distance.Seconds()) / success
+	return (work + c.RTT.Seconds()) / success
 }
 
 // neutral gives those under suspicion the best latency and success of the others.
@@ -71,7 +71,7 @@
 	for i := range candidates {
 		if candidates[i].Suspect {
 			candidates[i].Latency = best
-			candidates[i].SuccessShare = 1
+			candidates[i].SuccessRate = 1
 		}
 	}
 }
@@ -84,7 +84,7 @@
 func Choose(candidates []Candidate, r *rand.Rand) int {
 	neutral(candidates)
 	steps := [...]func(Candidate) bool{
-		func(c Candidate) bool { return !c.Far && !c.LastChoice && free(c) },
+		func(c Candidate) bool { return !c.OtherHall && !c.LastChoice && free(c) },
 		func(c Candidate) bool { return !c.LastChoice && free(c) },
 		func(c Candidate) bool { return c.LastChoice && free(c) },
 		func(Candidate) bool { return true },
@@ -99,7 +99,7 @@
 
 // Least returns the index of the candidate with the least work outstanding for its slots and speed, -1 if there is none;
 // among equals one is drawn. It is for a request that will wait there anyway.
-func Least(candidates []Candidate, r *rand.Rand) int {
+func LowestCost(candidates []Candidate, r *rand.Rand) int {
 	neutral(candidates)
 	best, least, ties := -1, 0.0, 0
 	for i, c := range candidates {
--- a/balance/capacity_test.go
+++ b/balance/capacity_test.go
@@ -14,7 +14,7 @@
 			r := rand.New(rand.NewPCG(1, 1))
 			var list []Candidate
 			for range n {
-				list = append(list, Candidate{Weight: 4, Slots: 4, Outstanding: r.IntN(4), Latency: time.Millisecond, SuccessShare: 1})
+				list = append(list, Candidate{Weight: 4, Slots: 4, Outstanding: r.IntN(4), Latency: time.Millisecond, SuccessRate: 1})
 			}
 			for b.Loop() {
 				Choose(list, r)
@@ -26,13 +26,13 @@
 // TestChooseSpares checks what a choice prefers: a free endpoint to a full one, a near one to a far one, a last choice
 // only when the others are full, and an endpoint under suspicion no less than others.
 func TestChooseSpares(t *testing.T) {
-	free := Candidate{Weight: 1, Slots: 2, Latency: 10 * time.Millisecond, SuccessShare: 1}
+	free := Candidate{Weight: 1, Slots: 2, Latency: 10 * time.Millisecond, SuccessRate: 1}
 	full, far, last, slow, suspect := free, free, free, free, free
 	full.Outstanding = 2
-	far.Distance = 5 * time.Millisecond
+	far.RTT = 5 * time.Millisecond
 	last.LastChoice = true
 	slow.Latency = 50 * time.Millisecond
-	suspect.Latency, suspect.SuccessShare, suspect.Suspect = 50*time.Millisecond, 0.2, true
+	suspect.Latency, suspect.SuccessRate, suspect.Suspect = 50*time.Millisecond, 0.2, true
 	cases := []struct {
 		name  string
 		other Candidate
--- a/bench/decisions.go
+++ b/bench/decisions.go
@@ -33,7 +33,7 @@
 }
 
 var policies = []namedPolicy{
-	{"ours", virtual.NewOurs}, {"common", virtual.NewCommon}, {"round_robin", virtual.NewRoundRobin},
+	{"ours", virtual.NewLynxplank}, {"common", virtual.NewConventional}, {"round_robin", virtual.NewRoundRobin},
 }
 
 const (
@@ -79,22 +79,22 @@
 }
 
 func detection(r virtual.Result) float64 {
-	if r.Detected < 0 {
+	if r.DetectionTime < 0 {
 		return math.Inf(1)
 	}
-	return r.Detected.Seconds()
+	return r.DetectionTime.Seconds()
 }
 
 func begun(r virtual.Result) float64 {
-	if r.Detected < 0 {
+	if r.DetectionTime < 0 {
 		return math.Inf(1)
 	}
-	return float64(r.Begun)
+	return float64(r.RequestsUntilDetection)
 }
 
 func badShare(r virtual.Result) float64 {
 	const percent = 100
-	return percent * float64(r.Bad) / float64(max(r.Requests, 1))
+	return percent * float64(r.Failed) / float64(max(r.Requests, 1))
 }
 
 func medianOf(results []virtual.Result, value func(virtual.Result) float64) float64 {
@@ -153,7 +153,9 @@
 }
 
 // capacity is the requests a second that one endpoint's slots can do at the streams' mean service time.
-func capacity(s virtual.Service) float64 { return float64(s.Slots) / virtual.MeanWork().Seconds() }
+func capacity(s virtual.Service) float64 {
+	return float64(s.Slots) / virtual.MeanServiceTime().Seconds()
+}
 
 func overloadOf(out io.Writer, s virtual.Service, load float64, p namedPolicy) {
 	rate := capacity(s) * load
@@ -165,8 +167,8 @@
 	})
 	name := fmt.Sprintf("%s.overload_%g.%s", s.Name, load, p.name)
 	total := capacity(s) * float64(s.Endpoints) * faultLength.Seconds()
-	measure(out, name+".goodput", medianOf(results, func(r virtual.Result) float64 { return 100 * float64(r.Good) / total }), "%_of_capacity")
-	measure(out, name+".p99", medianOf(results, func(r virtual.Result) float64 { return quantile(r.Admitted, 0.99) }), "ms")
+	measure(out, name+".goodput", medianOf(results, func(r virtual.Result) float64 { return 100 * float64(r.InTime) / total }), "%_of_capacity")
+	measure(out, name+".p99", medianOf(results, func(r virtual.Result) float64 { return quantile(r.LatenciesMillis, 0.99) }), "ms")
 	measure(out, name+".sends", medianOf(results, func(r virtual.Result) float64 { return float64(r.Sends) / float64(r.Requests) }), "sends/request")
 	measure(out, name+".false_ejections", medianOf(results, func(r virtual.Result) float64 { return float64(r.FalseEjections) }), "endpoints")
 }
@@ -183,7 +185,7 @@
 		})
 		name := strings.Join([]string{s.Name, "flood", p.name}, ".")
 		measure(out, name+".others_lost", medianOf(results, func(r virtual.Result) float64 {
-			return 100 * float64(r.ShareBad) / float64(max(r.ShareAll, 1))
+			return 100 * float64(r.CompliantFailed) / float64(max(r.CompliantRequests, 1))
 		}), "%")
 	}
 }
@@ -204,12 +206,12 @@
 	s := virtual.Services[2]
 	for _, falsePerDay := range []float64{0.001, 0.05, 1, 24} {
 		s.FalseEjections = falsePerDay
-		curvePoint(out, s, fmt.Sprintf("ours_%g_a_day", falsePerDay), virtual.NewOurs, hours)
+		curvePoint(out, s, fmt.Sprintf("ours_%g_a_day", falsePerDay), virtual.NewLynxplank, hours)
 	}
 	for _, limit := range []int{2, 3, 5} {
-		curvePoint(out, s, fmt.Sprintf("in_row_%d", limit), virtual.NewInRow(limit), hours)
+		curvePoint(out, s, fmt.Sprintf("in_row_%d", limit), virtual.NewConsecutiveFailures(limit), hours)
 	}
-	curvePoint(out, s, "common", virtual.NewCommon, hours)
+	curvePoint(out, s, "common", virtual.NewConventional, hours)
 }
 
 func curvePoint(out io.Writer, s virtual.Service, name string, policy virtual.NewPolicy, hours float64) {
--- a/bench/hanging.go
+++ b/bench/hanging.go
@@ -32,13 +32,13 @@
 
 // mixedWork is one kind of the work that an endpoint gets, with the time after which its callers give up.
 type mixedWork struct {
-	breaker.Work
+	breaker.RequestClass
 	limit time.Duration
 }
 
 var mixed = []mixedWork{
-	{Work: breaker.Work{Kind: "lookup", Usual: 100 * time.Millisecond}, limit: 1500 * time.Millisecond},
-	{Work: breaker.Work{Kind: "booking", Usual: 500 * time.Millisecond}, limit: 5 * time.Second},
+	{RequestClass: breaker.RequestClass{Kind: "lookup", UsualTime: 100 * time.Millisecond}, limit: 1500 * time.Millisecond},
+	{RequestClass: breaker.RequestClass{Kind: "booking", UsualTime: 500 * time.Millisecond}, limit: 5 * time.Second},
 }
 
 // hang is a fault of an endpoint that takes work.
@@ -65,32 +65,32 @@
 
 // judge decides from an endpoint's work whether it hangs.
 type judge interface {
-	begin(now time.Time, id uint64, w breaker.Work)
-	end(now time.Time, id uint64, w breaker.Work, took time.Duration, answered bool)
+	begin(now time.Time, id uint64, w breaker.RequestClass)
+	end(now time.Time, id uint64, w breaker.RequestClass, took time.Duration, answered bool)
 	hangs(now time.Time) bool
 	reset()
 }
 
 // byWork judges by the work under way, as the nodes do.
 type byWork struct {
-	watch breaker.Watch
-	times *latency.Kinds
+	watch breaker.InflightMonitor
+	times *latency.Models
 }
 
-func newByWork() judge { return &byWork{times: latency.NewKinds()} }
+func newByWork() judge { return &byWork{times: latency.NewModels()} }
 
-func (j *byWork) begin(now time.Time, id uint64, w breaker.Work) { j.watch.Begin(now, id, w) }
+func (j *byWork) begin(now time.Time, id uint64, w breaker.RequestClass) { j.watch.Begin(now, id, w) }
 
-func (j *byWork) end(now time.Time, id uint64, w breaker.Work, took time.Duration, answered bool) {
+func (j *byWork) end(now time.Time, id uint64, w breaker.RequestClass, took time.Duration, answered bool) {
 	j.watch.End(now, id, answered)
 	if answered {
-		j.times.Note(w.Kind, took)
+		j.times.Observe(w.Kind, took)
 	}
 }
 
 func (j *byWork) hangs(now time.Time) bool {
-	return j.watch.Score(now, func(w breaker.Work, age time.Duration) float64 {
-		return j.times.Of(w.Kind, w.Usual).Survival(age)
+	return j.watch.Score(now, func(w breaker.RequestClass, age time.Duration) float64 {
+		return j.times.For(w.Kind, w.UsualTime).Survival(age)
 	}) >= suspectScore
 }
 
@@ -111,9 +111,9 @@
 	atEndMemory = 0.1
 )
 
-func (j *atEnd) begin(time.Time, uint64, breaker.Work) {}
+func (j *atEnd) begin(time.Time, uint64, breaker.RequestClass) {}
 
-func (j *atEnd) end(_ time.Time, _ uint64, _ breaker.Work, took time.Duration, answered bool) {
+func (j *atEnd) end(_ time.Time, _ uint64, _ breaker.RequestClass, took time.Duration, answered bool) {
 	if !answered || j.usual > 0 && took.Seconds() > atEndTimes*j.usual {
 		j.row++
 		return
@@ -148,14 +148,14 @@
 		now := start.Add(at)
 		running = slices.DeleteFunc(running, func(u underWay) bool {
 			if u.ends <= at {
-				j.end(now, u.id, u.work.Work, u.ends-u.began, u.answered)
+				j.end(now, u.id, u.work.RequestClass, u.ends-u.began, u.answered)
 			}
 			return u.ends <= at
 		})
 		if random.Float64() < hangingRate*hangingStep.Seconds() {
 			id++
 			u := drawWork(random, f, id, at)
-			j.begin(now, id, u.work.Work)
+			j.begin(now, id, u.work.RequestClass)
 			running = append(running, u)
 			if at >= hangingOnset {
 				begun++
@@ -173,7 +173,7 @@
 // drawWork begins a piece of work.
 func drawWork(random *rand.Rand, f hang, id uint64, at time.Duration) underWay {
 	u := underWay{id: id, work: mixed[random.IntN(len(mixed))], began: at}
-	took := time.Duration(float64(u.work.Usual) * math.Exp(hangingSpread*random.NormFloat64()))
+	took := time.Duration(float64(u.work.UsualTime) * math.Exp(hangingSpread*random.NormFloat64()))
 	if random.IntN(hangingTail) == 0 {
 		took *= hangingTailTimes
 	}
--- a/breaker/breaker.go
+++ b/breaker/breaker.go
@@ -9,19 +9,19 @@
 type Config struct {
 	// Broken is the evidence that one answer which broke off gives, Failed that of one whole answer that says the work
 	// failed. A breaker opens at openAt.
-	Broken, Failed float64
+	BrokenWeight, FailedWeight float64
 	// Forget is the time in which evidence halves.
-	Forget time.Duration
+	ScoreHalfLife time.Duration
 	// Spell is how long an endpoint is thought to fail at a time before any spell was seen; what is learned of each
 	// endpoint stays between ShortestSpell and LongestSpell.
-	Spell, ShortestSpell, LongestSpell time.Duration
+	InitialOutage, MinOutage, MaxOutage time.Duration
 	// TrialEvery is the least time between two trials; it doubles with each one that fails, up to LongestTrial.
-	TrialEvery, LongestTrial time.Duration
+	TrialInterval, MaxTrialInterval time.Duration
 	// Successes is how many trials in a row close the breaker after it has opened once, and one more for each time that
 	// it opened again within Memory, up to MostSuccesses.
-	Successes, MostSuccesses int
+	RequiredSuccesses, MaxRequiredSuccesses int
 	// Memory is how long an opening counts.
-	Memory time.Duration
+	OpeningWindow time.Duration
 }
 
 const (
@@ -56,10 +56,10 @@
 // about one request in seven through meanwhile. docs/DECISIONS.md has the measurements behind the figures.
 func DefaultConfig() Config {
 	return Config{
-		Broken: 1, Failed: 0.4, Forget: time.Second,
-		Spell: time.Second, ShortestSpell: 200 * time.Millisecond, LongestSpell: 1500 * time.Millisecond,
-		TrialEvery: 40 * time.Millisecond, LongestTrial: 400 * time.Millisecond,
-		Successes: 2, MostSuccesses: 3, Memory: 8 * time.Second,
+		BrokenWeight: 1, FailedWeight: 0.4, ScoreHalfLife: time.Second,
+		InitialOutage: time.Second, MinOutage: 200 * time.Millisecond, MaxOutage: 1500 * time.Millisecond,
+		TrialInterval: 40 * time.Millisecond, MaxTrialInterval: 400 * time.Millisecond,
+		RequiredSuccesses: 2, MaxRequiredSuccesses: 3, OpeningWindow: 8 * time.Second,
 	}
 }
 
@@ -127,14 +127,14 @@
 
 // New returns a closed breaker.
 func New(cfg Config) *Breaker {
-	return &Breaker{cfg: cfg, spell: cfg.Spell, trialEvery: cfg.TrialEvery}
+	return &Breaker{cfg: cfg, spell: cfg.InitialOutage, trialEvery: cfg.TrialInterval}
 }
 
 // State returns what the endpoint takes.
 func (b *Breaker) State() State { return b.state }
 
 // Pause returns how long the endpoint takes no ordinary work unless trials go well sooner; 0 when it takes everything.
-func (b *Breaker) Pause(now time.Time) time.Duration {
+func (b *Breaker) RemainingOutage(now time.Time) time.Duration {
 	if b.state == Closed {
 		return 0
 	}
@@ -147,7 +147,7 @@
 }
 
 // Clear closes a breaker that was opened by Suspect and for a reason that has proved wrong.
-func (b *Breaker) Clear(now time.Time) {
+func (b *Breaker) ForceClose(now time.Time) {
 	if b.state == Trial {
 		b.close(now)
 	}
@@ -156,23 +156,23 @@
 func (b *Breaker) close(now time.Time) {
 	b.state = Closed
 	b.evidence = 0
-	b.trialEvery = b.cfg.TrialEvery
+	b.trialEvery = b.cfg.TrialInterval
 	b.closedAt = now
 }
 
 // learnSpell takes the length of a spell, from its opening on.
 func (b *Breaker) learnSpell(d time.Duration) {
 	b.spell += time.Duration(spellMemory * float64(d-b.spell))
-	b.spell = min(max(b.spell, b.cfg.ShortestSpell), b.cfg.LongestSpell)
+	b.spell = min(max(b.spell, b.cfg.MinOutage), b.cfg.MaxOutage)
 }
 
 // Likely tells whether the endpoint does more of its work than not, as far as its trials show; while none has ended it
 // is given the benefit of the doubt.
-func (b *Breaker) Likely() bool { return b.state == Closed || b.goodShare >= likelyShare }
+func (b *Breaker) LikelyToSucceed() bool { return b.state == Closed || b.goodShare >= likelyShare }
 
 // LastResort takes the result of a request that ran as a last resort: it says whether the endpoint is worth the next
 // one, but only trials, which can be sent again, close the breaker.
-func (b *Breaker) LastResort(r Result) {
+func (b *Breaker) ReportLastResort(r Result) {
 	if b.state == Trial {
 		b.learn(r == OK)
 	}
@@ -189,7 +189,7 @@
 
 // Would tells whether Allow would let a request run. What must not repeat is a trial only once a spell of the usual length
 // should be over.
-func (b *Breaker) Would(now time.Time, repeatable bool) bool {
+func (b *Breaker) WouldAllow(now time.Time, repeatable bool) bool {
 	if b.state == Closed {
 		return true
 	}
@@ -201,7 +201,7 @@
 
 // Allow tells whether a request may run now, and whether it is a trial, whose result must be reported with Done.
 func (b *Breaker) Allow(now time.Time, repeatable bool) (ok, trial bool) {
-	if !b.Would(now, repeatable) {
+	if !b.WouldAllow(now, repeatable) {
 		return false, false
 	}
 	if b.state == Closed {
@@ -213,14 +213,14 @@
 }
 
 // Release takes back a trial that did not run after all.
-func (b *Breaker) Release(trial bool) {
+func (b *Breaker) CancelTrial(trial bool) {
 	if trial {
 		b.trialing = false
 	}
 }
 
 // Done takes the result of a request.
-func (b *Breaker) Done(now time.Time, r Result, trial bool) {
+func (b *Breaker) Report(now time.Time, r Result, trial bool) {
 	if trial {
 		b.trialing = false
 	}
@@ -229,18 +229,18 @@
 	case OK:
 		b.good(now, trial)
 	case Failed:
-		b.bad(now, b.cfg.Failed, trial)
+		b.bad(now, b.cfg.FailedWeight, trial)
 	case Broken:
-		b.bad(now, b.cfg.Broken, trial)
+		b.bad(now, b.cfg.BrokenWeight, trial)
 	case Overdue:
 		if trial {
-			b.bad(now, b.cfg.Failed, trial)
+			b.bad(now, b.cfg.FailedWeight, trial)
 		}
 	}
 }
 
 // Suspect opens the breaker for evidence that is weighed elsewhere, and tells whether it was closed.
-func (b *Breaker) Suspect(now time.Time) bool {
+func (b *Breaker) ForceOpen(now time.Time) bool {
 	if b.state != Closed {
 		return false
 	}
@@ -252,10 +252,10 @@
 func (b *Breaker) fade(now time.Time) {
 	elapsed := now.Sub(b.seenAt)
 	b.seenAt = now
-	for ; elapsed >= b.cfg.Forget && b.evidence > leastEvidence; elapsed -= b.cfg.Forget {
+	for ; elapsed >= b.cfg.ScoreHalfLife && b.evidence > leastEvidence; elapsed -= b.cfg.ScoreHalfLife {
 		b.evidence /= 2
 	}
-	b.evidence *= 1 - float64(min(elapsed, b.cfg.Forget))/float64(2*b.cfg.Forget)
+	b.evidence *= 1 - float64(min(elapsed, b.cfg.ScoreHalfLife))/float64(2*b.cfg.ScoreHalfLife)
 }
 
 // good takes an answer that says nothing of a failure.
@@ -284,11 +284,11 @@
 func (b *Breaker) needed(now time.Time) int {
 	recent := 0
 	for _, at := range b.openings {
-		if now.Sub(at) < b.cfg.Memory {
+		if now.Sub(at) < b.cfg.OpeningWindow {
 			recent++
 		}
 	}
-	return min(b.cfg.Successes+max(recent-1, 0), b.cfg.MostSuccesses)
+	return min(b.cfg.RequiredSuccesses+max(recent-1, 0), b.cfg.MaxRequiredSuccesses)
 }
 
 // bad takes an answer that is evidence of a failure.
@@ -306,7 +306,7 @@
 	}
 	b.learn(false)
 	b.successes = 0
-	b.trialEvery = min(2*b.trialEvery, b.cfg.LongestTrial)
+	b.trialEvery = min(2*b.trialEvery, b.cfg.MaxTrialInterval)
 	if b.doubtNow(now) < trialDoubt {
 		// The spell lasts longer than usual.
 		b.learnSpell(2 * now.Sub(b.openedAt))
--- a/breaker/script_test.go
+++ b/breaker/script_test.go
@@ -30,18 +30,18 @@
 			case "new":
 				b = New(DefaultConfig())
 			case "suspect":
-				return fmt.Sprintln(b.Suspect(now), b.State())
+				return fmt.Sprintln(b.ForceOpen(now), b.State())
 			case "clear":
-				b.Clear(now)
+				b.ForceClose(now)
 			case "ask":
-				return fmt.Sprintln(b.Would(now, repeatable), b.State())
+				return fmt.Sprintln(b.WouldAllow(now, repeatable), b.State())
 			case "last":
 				var how string
 				d.ScanArgs(t, "how", &how)
-				b.LastResort(results[how])
-				return fmt.Sprintln(b.Likely(), b.State())
+				b.ReportLastResort(results[how])
+				return fmt.Sprintln(b.LikelyToSucceed(), b.State())
 			case "likely":
-				return fmt.Sprintln(b.Likely(), b.State())
+				return fmt.Sprintln(b.LikelyToSucceed(), b.State())
 			case "run":
 				return run(t, d, b, now, repeatable)
 			case "wait":
@@ -69,6 +69,6 @@
 	if !ok {
 		return fmt.Sprintln("refused", b.State())
 	}
-	b.Done(now, results[how], trial)
+	b.Report(now, results[how], trial)
 	return fmt.Sprintf("ran trial=%v %v\n", trial, b.State())
 }
--- a/breaker/watch.go
+++ b/breaker/watch.go
@@ -20,15 +20,15 @@
 var answeredEvidence = math.Log(1 - hangShare)
 
 // Work says what kind of work is under way, and its usual time elsewhere, 0 if that is not known.
-type Work struct {
+type RequestClass struct {
 	// Kind names the kind.
 	Kind string
 	// Usual is the time that such work usually takes elsewhere.
-	Usual time.Duration
+	UsualTime time.Duration
 }
 
 // Survival tells the share of ordinary work that takes longer than an age.
-type Survival func(w Work, age time.Duration) float64
+type Survival func(w RequestClass, age time.Duration) float64
 
 // Watch weighs the work under way at one endpoint: work that ought to have ended and has not speaks against the endpoint
 // long before its callers give up. Its owner locks it.
@@ -36,7 +36,7 @@
 // The score is the log likelihood ratio of "since some moment the endpoint leaves hangShare of its new work without an
 // answer" against "the endpoint is well", at the moment for which it is highest. Work under way is a censored observation
 // of its time.
-type Watch struct {
+type InflightMonitor struct {
 	// runs are by their start: what is under way, and some that has ended since.
 	runs  []piece
 	ended int
@@ -45,7 +45,7 @@
 // piece is one piece of work; age is set once it has ended, answered if an answer came in time.
 type piece struct {
 	id       uint64
-	work     Work
+	work     RequestClass
 	start    time.Time
 	ended    bool
 	answered bool
@@ -66,26 +66,26 @@
 }
 
 // Begin notes work that was handed over.
-func (w *Watch) Begin(now time.Time, id uint64, work Work) {
+func (w *InflightMonitor) Begin(now time.Time, id uint64, work RequestClass) {
 	w.runs = append(w.runs, piece{id: id, work: work, start: now})
 }
 
 // Alive notes that the endpoint has shown a sign of a piece of work, such as a part of its answer: only its silence since then counts.
-func (w *Watch) Alive(now time.Time, id uint64) {
+func (w *InflightMonitor) Progress(now time.Time, id uint64) {
 	if r := w.find(id); r != nil {
 		r.start = now
 	}
 }
 
 // Hold notes that the endpoint waits for somebody else with a piece of work, until Resume: that time says nothing of it.
-func (w *Watch) Hold(now time.Time, id uint64) {
+func (w *InflightMonitor) Pause(now time.Time, id uint64) {
 	if r := w.find(id); r != nil && r.held.IsZero() {
 		r.held = now
 	}
 }
 
 // Resume ends a Hold.
-func (w *Watch) Resume(now time.Time, id uint64) {
+func (w *InflightMonitor) Resume(now time.Time, id uint64) {
 	if r := w.find(id); r != nil && !r.held.IsZero() {
 		r.start = r.start.Add(now.Sub(r.held))
 		r.held = time.Time{}
@@ -93,7 +93,7 @@
 }
 
 // find returns a piece of work that is under way, nil if it is not.
-func (w *Watch) find(id uint64) *piece {
+func (w *InflightMonitor) find(id uint64) *piece {
 	i := slices.IndexFunc(w.runs, func(r piece) bool { return r.id == id && !r.ended })
 	if i < 0 {
 		return nil
@@ -102,7 +102,7 @@
 }
 
 // End notes that work has ended, and whether the endpoint answered.
-func (w *Watch) End(now time.Time, id uint64, answered bool) {
+func (w *InflightMonitor) End(now time.Time, id uint64, answered bool) {
 	r := w.find(id)
 	if r == nil {
 		return
@@ -116,7 +116,7 @@
 }
 
 // Score returns the evidence against the endpoint in nats, 0 for none.
-func (w *Watch) Score(now time.Time, survival Survival) float64 {
+func (w *InflightMonitor) Score(now time.Time, survival Survival) float64 {
 	sum, most := 0.0, 0.0
 	for _, r := range slices.Backward(w.runs) {
 		sum += r.evidence(now, survival)
@@ -135,24 +135,24 @@
 }
 
 // Reset forgets all work so far: the endpoint has shown that it is well, and what is still silent was begun before that.
-func (w *Watch) Reset() { w.runs, w.ended = nil, 0 }
+func (w *InflightMonitor) Reset() { w.runs, w.ended = nil, 0 }
 
 // Age returns how long a piece of work is under way; false if it is not.
-func (w *Watch) Age(now time.Time, id uint64) (work Work, age time.Duration, ok bool) {
+func (w *InflightMonitor) Age(now time.Time, id uint64) (work RequestClass, age time.Duration, ok bool) {
 	r := w.find(id)
 	if r == nil {
-		return Work{}, 0, false
+		return RequestClass{}, 0, false
 	}
 	return r.work, r.agedAt(now), true
 }
 
 // Idle tells whether no work is under way.
-func (w *Watch) Idle() bool {
+func (w *InflightMonitor) Idle() bool {
 	return !slices.ContainsFunc(w.runs, func(r piece) bool { return !r.ended })
 }
 
 // Running returns the ids of the work under way.
-func (w *Watch) Running() []uint64 {
+func (w *InflightMonitor) InFlight() []uint64 {
 	var ids []uint64
 	for _, r := range w.runs {
 		if !r.ended {
--- a/breaker/watch_test.go
+++ b/breaker/watch_test.go
@@ -18,8 +18,8 @@
 )
 
 // usualTimes survives as lognormal work of its kind's usual time does, with a heavy tail of one in a hundred.
-func usualTimes(w Work, age time.Duration) float64 {
-	z := math.Log(age.Seconds()/w.Usual.Seconds()) / workSpread
+func usualTimes(w RequestClass, age time.Duration) float64 {
+	z := math.Log(age.Seconds()/w.UsualTime.Seconds()) / workSpread
 	return 0.01 + 0.99*math.Erfc(z/math.Sqrt2)/2
 }
 
@@ -35,7 +35,7 @@
 // Each prints whether the work so far shows a hanging endpoint.
 func TestWatchScripts(t *testing.T) {
 	usual := map[string]time.Duration{"lookup": 100 * time.Millisecond, "booking": 500 * time.Millisecond}
-	var w Watch
+	var w InflightMonitor
 	now := time.Unix(1000, 0)
 	datadriven.RunTest(t, "testdata/watches/watch", func(t *testing.T, d *datadriven.TestData) string {
 		var id uint64
@@ -44,13 +44,13 @@
 		switch d.Cmd {
 		case "begin":
 			d.ScanArgs(t, "kind", &text)
-			w.Begin(now, id, Work{Kind: text, Usual: usual[text]})
+			w.Begin(now, id, RequestClass{Kind: text, UsualTime: usual[text]})
 		case "end":
 			w.End(now, id, !d.HasArg("silent"))
 		case "alive":
-			w.Alive(now, id)
+			w.Progress(now, id)
 		case "hold":
-			w.Hold(now, id)
+			w.Pause(now, id)
 		case "resume":
 			w.Resume(now, id)
 		case "reset":
@@ -75,9 +75,9 @@
 // watched plays an endpoint of some slots that takes work of one kind at a rate and hangs from an instant on; it returns
 // when the watch said so first, the zero duration if it did not.
 func watched(random *rand.Rand, rate float64, hangsFrom, until time.Duration) time.Duration {
-	work := Work{Kind: "booking", Usual: 500 * time.Millisecond}
+	work := RequestClass{Kind: "booking", UsualTime: 500 * time.Millisecond}
 	start := time.Unix(1000, 0)
-	var w Watch
+	var w InflightMonitor
 	ends := make(map[uint64]time.Duration)
 	const step = 10 * time.Millisecond
 	for at, id := time.Duration(0), uint64(0); at < until; at += step {
@@ -85,7 +85,7 @@
 		if random.Float64() < rate*step.Seconds() {
 			id++
 			w.Begin(now, id, work)
-			ends[id] = at + time.Duration(float64(work.Usual)*math.Exp(workSpread*random.NormFloat64()))
+			ends[id] = at + time.Duration(float64(work.UsualTime)*math.Exp(workSpread*random.NormFloat64()))
 			if at >= hangsFrom && random.Float64() < 0.75 {
 				ends[id] = at + 5*time.Second
 			}
@@ -145,9 +145,9 @@
 // TestOnePieceProvesNothing checks that no single piece of work, however long silent, shows a hanging endpoint.
 func TestOnePieceProvesNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var w Watch
+		var w InflightMonitor
 		now := time.Unix(1000, 0)
-		w.Begin(now, 1, Work{Kind: "booking", Usual: 500 * time.Millisecond})
+		w.Begin(now, 1, RequestClass{Kind: "booking", UsualTime: 500 * time.Millisecond})
 		age := time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "age"))
 		if got := w.Score(now.Add(age), usualTimes); got >= judged {
 			t.Fatalf("after %v: got %v, want less than %v", age, got, judged)
@@ -157,10 +157,10 @@
 
 // TestWatchForgetsOldAnswers checks that ended work is held up to a bound.
 func TestWatchForgetsOldAnswers(t *testing.T) {
-	var w Watch
+	var w InflightMonitor
 	now := time.Unix(1000, 0)
 	for id := range uint64(10 * mostEnded) {
-		w.Begin(now, id, Work{})
+		w.Begin(now, id, RequestClass{})
 		w.End(now, id, true)
 	}
 	if got, want := len(w.runs), mostEnded; got != want {
--- a/cli/fatal.go
+++ b/cli/fatal.go
@@ -47,7 +47,7 @@
 	var lines [][]string
 	after := ""
 	for more := true; more; {
-		page, err := a.table.Scan(a.ctx, poison.Prefix, after, platform.MostRows)
+		page, err := a.table.Scan(a.ctx, poison.KeyPrefix, after, platform.MostRows)
 		if err != nil {
 			return err
 		}
@@ -75,14 +75,14 @@
 func readFatal(rec platform.Record) (fatalReport, error) {
 	value, err := poison.Decode(rec)
 	return fatalReport{
-		Content: strings.TrimPrefix(rec.Key, poison.Prefix), Service: value.Service, Ends: value.Ends.List(),
-		At: value.At.Time(), Barred: poison.Barred(value),
+		Content: strings.TrimPrefix(rec.Key, poison.KeyPrefix), Service: value.Service, Ends: value.Ends.List(),
+		At: value.At.Time(), Barred: poison.Blocked(value),
 	}, err
 }
 
 // liftFatal takes a request's row out, provided that it is still the one just read; the nodes then count its ends anew.
 func (a *app) liftFatal(text string) error {
-	c, ok := poison.Parse(text)
+	c, ok := poison.ParseFingerprint(text)
 	if !ok {
 		return fault.New(fault.BadUsage, text, "want a content of 22 letters, as the list shows it")
 	}
--- a/cli/reports.go
+++ b/cli/reports.go
@@ -151,16 +151,16 @@
 	if f.NArg() > 1 {
 		return wrongArgs(f)
 	}
-	all := make(map[string]ratelimit.Use)
+	all := make(map[string]ratelimit.Usage)
 	var lines [][]string
 	for _, node := range a.cfg.Nodes {
-		var list []ratelimit.Use
+		var list []ratelimit.Usage
 		if err := a.askNode(node, operator.PathCustomers, &list); err != nil {
 			return err
 		}
 		for _, u := range list {
 			if f.NArg() == 0 {
-				all[u.Customer] = u.With(all[u.Customer])
+				all[u.Customer] = u.Plus(all[u.Customer])
 			} else if u.Customer == f.Arg(0) {
 				lines = append(lines, useLine(node.String(), u))
 			}
@@ -199,11 +199,11 @@
 	skipped.Entry
 }
 
-func useLine(node string, u ratelimit.Use) []string {
+func useLine(node string, u ratelimit.Usage) []string {
 	number := func(n uint64) string { return strconv.FormatUint(n, 10) }
 	rate := func(r float64) string { return strconv.FormatFloat(r, 'g', -1, 64) }
 	return []string{
-		node, u.Customer, rate(u.Limit), rate(u.Burst), number(u.Passed), number(u.Refused), number(u.Unused), number(u.Lent),
-		strconv.FormatBool(u.Home),
+		node, u.Customer, rate(u.Limit), rate(u.Burst), number(u.Passed), number(u.Refused), number(u.Unused), number(u.Granted),
+		strconv.FormatBool(u.IsOwner),
 	}
 }
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -33,7 +33,7 @@
 }
 
 // Begin begins a stopwatch.
-func (c Clock) Begin() Stopwatch { return Stopwatch{clock: c, boot: c(), began: time.Now()} }
+func (c Clock) StartStopwatch() Stopwatch { return Stopwatch{clock: c, boot: c(), began: time.Now()} }
 
 // Suspended returns how long the host was suspended, 0 for less than a few milliseconds.
 func (s Stopwatch) Suspended() time.Duration {
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -9,7 +9,7 @@
 func TestSuspended(t *testing.T) {
 	lost := time.Duration(0)
 	c := Clock(func() time.Time { return time.Now().Add(lost) })
-	watch := c.Begin()
+	watch := c.StartStopwatch()
 	if got, want := watch.Suspended(), time.Duration(0); got != want {
 		t.Errorf("suspended before: got %v, want %v", got, want)
 	}
@@ -17,14 +17,14 @@
 	if got, want := watch.Suspended().Round(time.Second), lost; got != want {
 		t.Errorf("suspended: got %v, want %v", got, want)
 	}
-	if got, want := c.Begin().Suspended(), time.Duration(0); got != want {
+	if got, want := c.StartStopwatch().Suspended(), time.Duration(0); got != want {
 		t.Errorf("suspended after: got %v, want %v", got, want)
 	}
 }
 
 // TestBootGoesOn checks that the clock of the host goes as fast as the steady one while nobody suspends it.
 func TestBootGoesOn(t *testing.T) {
-	watch := Clock(Boot).Begin()
+	watch := Clock(Boot).StartStopwatch()
 	before := Boot()
 	time.Sleep(20 * time.Millisecond)
 	if got, least := Boot().Sub(before), 20*time.Millisecond; got < least {
--- a/coldstart/bound.go
+++ b/coldstart/bound.go
@@ -11,15 +11,15 @@
 	// Rate is how many requests a second it bears for long.
 	Rate float64
 	// Over and Slack are how far beyond that one second may go.
-	Over, Slack float64
+	RateFactor, Slack float64
 }
 
 // Within returns the most requests in one second.
-func (b Bound) Within() float64 { return b.Rate*b.Over + b.Slack }
+func (b Bound) MaxPerSecond() float64 { return b.Rate*b.RateFactor + b.Slack }
 
 const (
 	// SendWithin is how long after its admission a request may be sent: a slot is held as long for a sender that does not answer.
-	SendWithin = 200 * time.Millisecond
+	MaxSendDelay = 200 * time.Millisecond
 	// leastBurst is what a bucket saves up at least.
 	leastBurst = 2
 	// second is the window of the bound.
@@ -31,9 +31,9 @@
 // Invariant: what is sent in a second was admitted in that second or SendWithin before it, and the limit lets no more than Within pass in
 // so long a time.
 func (b Bound) doubtful() quota.Limit {
-	burst := max(leastBurst, min(b.Slack, b.Within()/2))
-	window := (second + SendWithin).Seconds()
-	return quota.Limit{Rate: max(0, (b.Within()-burst)/window), Burst: burst}
+	burst := max(leastBurst, min(b.Slack, b.MaxPerSecond()/2))
+	window := (second + MaxSendDelay).Seconds()
+	return quota.Limit{Rate: max(0, (b.MaxPerSecond()-burst)/window), Burst: burst}
 }
 
 // cold is the limit of an endpoint that says that it is cold: what it bears for long, so that it gets warm and does not fall over.
--- a/coldstart/door_test.go
+++ b/coldstart/door_test.go
@@ -27,32 +27,32 @@
 func TestBoundOverEachSecond(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bound := Bound{
-			Rate: rapid.Float64Range(1, 60).Draw(t, "rate"), Over: rapid.Float64Range(1, 3).Draw(t, "over"),
+			Rate: rapid.Float64Range(1, 60).Draw(t, "rate"), RateFactor: rapid.Float64Range(1, 3).Draw(t, "over"),
 			Slack: rapid.Float64Range(2, 20).Draw(t, "slack"),
 		}
 		now := time.Unix(1000, 0)
-		door := NewDoor(now, bound)
+		door := NewLimiter(now, bound)
 		var sent []send
 		for range rapid.IntRange(20, 400).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 60).Draw(t, "pause")) * time.Millisecond)
 			switch rapid.IntRange(0, 40).Draw(t, "what") {
 			case 0:
-				door.Told(now, now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "cold"))*time.Millisecond))
+				door.Report(now, now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "cold"))*time.Millisecond))
 			case 1:
-				door.Doubt(now)
+				door.MarkPossiblyCold(now)
 			case 2:
 				// The node starts anew; what it admitted and did not send is gone with it.
-				door = NewDoor(now, bound)
+				door = NewLimiter(now, bound)
 				sent = slices.DeleteFunc(sent, func(s send) bool { return s.at.After(now) })
 			}
 			for range rapid.IntRange(0, 8).Draw(t, "requests") {
-				limited := door.Cold(now) > 0 || door.Doubtful(now)
+				limited := door.ColdRemaining(now) > 0 || door.PossiblyCold(now)
 				if ok, _ := door.Admit(now); !ok {
 					continue
 				}
 				took := time.Duration(rapid.IntRange(0, 300).Draw(t, "took")) * time.Millisecond
-				if took > SendWithin {
-					door.Return(now)
+				if took > MaxSendDelay {
+					door.Refund(now)
 					continue
 				}
 				sent = append(sent, send{admitted: now, at: now.Add(took), limited: limited})
@@ -76,7 +76,7 @@
 		for end.Sub(at[first]) > second {
 			first++
 		}
-		if got, most := float64(i-first+1), bound.Within(); got > most {
+		if got, most := float64(i-first+1), bound.MaxPerSecond(); got > most {
 			t.Fatalf("sent in the second to %v: got %v, want at most %v", end.Sub(at[0]), got, most)
 		}
 	}
@@ -90,7 +90,7 @@
 //	admit at=N n=N        prints how many pass, and when the first that does not should come back
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		var door *Door
+		var door *Limiter
 		start := time.Unix(1000, 0)
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			number := func(name string) (n int) {
@@ -102,11 +102,11 @@
 			case "door":
 				var over float64
 				d.ScanArgs(t, "over", &over)
-				door = NewDoor(now, Bound{Rate: float64(number("rate")), Over: over, Slack: float64(number("slack"))})
+				door = NewLimiter(now, Bound{Rate: float64(number("rate")), RateFactor: over, Slack: float64(number("slack"))})
 			case "told":
-				door.Told(now, now.Add(time.Duration(number("cold"))*time.Millisecond))
+				door.Report(now, now.Add(time.Duration(number("cold"))*time.Millisecond))
 			case "doubt":
-				door.Doubt(now)
+				door.MarkPossiblyCold(now)
 			case "admit":
 				return admit(door, now, number("n"))
 			default:
@@ -117,7 +117,7 @@
 	})
 }
 
-func admit(door *Door, now time.Time, n int) string {
+func admit(door *Limiter, now time.Time, n int) string {
 	var b strings.Builder
 	passed := 0
 	for range n {
--- a/configsync/confirm_test.go
+++ b/configsync/confirm_test.go
@@ -60,7 +60,7 @@
 			Node: h.ID, Hall: "hall-1", Listen: h.Address, Heartbeat: 50 * time.Millisecond, CutAfter: 5 * time.Second, IdleClose: time.Minute, Conns: 10,
 		}, &log, peer.WithBeatHook(func(name string, r table.Revisions) { f.Hint(name, r) }))
 		f = New(Config{
-			Host: h.ID, Hall: "hall-1", Retry: 10 * time.Second, Wait: 200 * time.Millisecond, Readers: 1, ConfigReaders: 1,
+			Host: h.ID, Hall: "hall-1", RetryInterval: 10 * time.Second, LongPollTimeout: 200 * time.Millisecond, Readers: 1, ConfigReaders: 1,
 			Timeout: time.Second, WithConfig: true,
 		}, &log, p, links)
 		links.Handle(answering{f: f})
--- a/configsync/fatals_test.go
+++ b/configsync/fatals_test.go
@@ -11,9 +11,9 @@
 )
 
 // fatalRow is what a node writes of a content under which some endpoints ended.
-func fatalRow(t *testing.T, c poison.Content, ends ...string) platform.Write {
+func fatalRow(t *testing.T, c poison.Fingerprint, ends ...string) platform.Write {
 	t.Helper()
-	value, err := poison.Encode(poison.WithEnds(table.PoisonRequest{}, "docket-desk", ends, time.Now()))
+	value, err := poison.Encode(poison.WithCrashes(table.PoisonRequest{}, "docket-desk", ends, time.Now()))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -21,7 +21,7 @@
 }
 
 // endsOf returns a test for how many ends a snapshot shows of a content.
-func endsOf(c poison.Content, want int) func(*Snapshot) bool {
+func endsOf(c poison.Fingerprint, want int) func(*Snapshot) bool {
 	return func(s *Snapshot) bool {
 		row, _ := s.State.PoisonRequest(c.String())
 		return len(row.Value.Ends.List()) == want
@@ -32,11 +32,11 @@
 // removal that the reader's history does not show is found all the same.
 func TestFatalsFollow(t *testing.T) {
 	s := store.New()
-	one, two := poison.ContentOf("", "GET", "", "/one", nil), poison.ContentOf("", "GET", "", "/two", nil)
+	one, two := poison.FingerprintOf("", "GET", "", "/one", nil), poison.FingerprintOf("", "GET", "", "/two", nil)
 	commit(t, s, fatalRow(t, one, "e1@1"))
 	f := startFollower(t, s)
 	wait(t, f, "the row that was there", endsOf(one, 1))
-	commit(t, s, platform.Write{Key: poison.Prefix + "short", Value: []byte(`{}`)})
+	commit(t, s, platform.Write{Key: poison.KeyPrefix + "short", Value: []byte(`{}`)})
 	commit(t, s, platform.Write{Key: poison.KeyOf(two), Value: []byte(`{"ends":`)})
 	commit(t, s, fatalRow(t, one, "e1@1", "e2@2", "e3@3"))
 	wait(t, f, "a changed row beside unreadable ones", endsOf(one, 3))
@@ -49,8 +49,8 @@
 
 // TestRemovalWithoutHistory has a reader read the whole table again: a row that is not shown any more is gone.
 func TestRemovalWithoutHistory(t *testing.T) {
-	one, two := poison.ContentOf("", "GET", "", "/one", nil), poison.ContentOf("", "GET", "", "/two", nil)
-	rec := func(c poison.Content, version uint64) platform.Record {
+	one, two := poison.FingerprintOf("", "GET", "", "/one", nil), poison.FingerprintOf("", "GET", "", "/two", nil)
+	rec := func(c poison.Fingerprint, version uint64) platform.Record {
 		w := fatalRow(t, c, "e1@1")
 		return platform.Record{Key: w.Key, Value: w.Value, Version: version}
 	}
--- a/configsync/follow_test.go
+++ b/configsync/follow_test.go
@@ -22,7 +22,7 @@
 	log := zerolog.Nop()
 	links := peer.NewManager(peer.Config{Node: "h1", Hall: "hall-1", Heartbeat: time.Second, CutAfter: time.Second}, &log)
 	f := New(Config{
-		Host: "h1", Hall: "hall-1", Retry: 5 * time.Millisecond, Wait: 200 * time.Millisecond, Readers: 2,
+		Host: "h1", Hall: "hall-1", RetryInterval: 5 * time.Millisecond, LongPollTimeout: 200 * time.Millisecond, Readers: 2,
 		Timeout: time.Second, WithConfig: true,
 	}, &log, store.NewLocal(s), links)
 	if err := f.Start(t.Context()); err != nil {
--- a/configsync/inforce.go
+++ b/configsync/inforce.go
@@ -127,7 +127,7 @@
 	next.State = old.State.WithEndpoints(f.hosts.revision, announced)
 	next.Hosts = hosts
 	next.list = f.hosts
-	next.SelfLine = line
+	next.StoredAnnouncement = line
 	next.ByID = make(map[string]table.HostInfo, len(hosts))
 	for _, h := range hosts {
 		next.ByID[h.ID] = h
--- a/configsync/read.go
+++ b/configsync/read.go
@@ -55,7 +55,7 @@
 	if name == platform.TableOperators {
 		reason = platform.ReasonConfig
 	}
-	return f.platform.Feed(platform.WithReason(ctx, reason), name, cursor, f.cfg.Wait)
+	return f.platform.Feed(platform.WithReason(ctx, reason), name, cursor, f.cfg.LongPollTimeout)
 }
 
 // ownReader reads the product's own table: the operators' rows and what the nodes announce. One goroutine owns it.
@@ -84,10 +84,10 @@
 func (f *Follower) readOwn(ctx context.Context) {
 	r := &ownReader{
 		f: f, rows: changes.NewReader(f.platform, changes.WithBad(f.leaveOut)), state: table.NewState(), fatals: newRowPlane(table.SourcePoison),
-		failing: retry.Backoff{First: f.cfg.Retry, Most: f.cfg.RetryMost},
+		failing: retry.Backoff{Initial: f.cfg.RetryInterval, Max: f.cfg.MaxRetryInterval},
 	}
 	for {
-		wait := f.cfg.Retry
+		wait := f.cfg.RetryInterval
 		if f.reading.Load() {
 			m, again := r.look(ctx)
 			f.deliver(m)
@@ -143,7 +143,7 @@
 		switch {
 		case strings.HasPrefix(rec.Key, HostPrefix):
 			r.noteHost(rec)
-		case strings.HasPrefix(rec.Key, poison.Prefix):
+		case strings.HasPrefix(rec.Key, poison.KeyPrefix):
 			fatals = append(fatals, rec)
 		default:
 			rows = true
@@ -184,7 +184,7 @@
 		}
 		return
 	}
-	r.f.leftOut.Understood(skipped.Records, rec.Key)
+	r.f.leftOut.Decoded(skipped.Records, rec.Key)
 	h.Version = rec.Version
 	r.hosts[id] = h
 }
--- a/configsync/wire.go
+++ b/configsync/wire.go
@@ -54,7 +54,7 @@
 	if c.from == 0 || !changesOnly {
 		return hostChanges{revision: s.list.revision, base: s.list.base, hosts: s.Hosts}
 	}
-	own, ok := s.ByID[s.SelfLine.ID]
+	own, ok := s.ByID[s.StoredAnnouncement.ID]
 	if !ok || slices.ContainsFunc(c.hosts, func(h table.HostInfo) bool { return h.ID == own.ID }) {
 		return c
 	}
--- a/dedupe/home.go
+++ b/dedupe/home.go
@@ -35,7 +35,7 @@
 	Clean
 	// Young means that nothing ran under this claim, but the home remembers too little to let a first attempt run
 	// unless the key's other home vouches for it.
-	Young
+	IncompleteHistory
 )
 
 // Answer is a kept answer.
@@ -45,7 +45,7 @@
 	// Body is the whole body.
 	Body []byte
 	// Kept is false when the answer was too large to keep.
-	Kept bool
+	Stored bool
 }
 
 type status uint8
@@ -79,7 +79,7 @@
 	Vouched bool
 	// Covered is set when this home has been the key's only home, with its memory whole, for longer than re-sends
 	// may come.
-	Covered bool
+	CompleteHistory bool
 	// Deadline is when a run that never reports its end is given up.
 	Deadline time.Time
 }
@@ -87,7 +87,7 @@
 // Home is the record of the keys that are at home in one place; its owner locks it.
 //
 // Invariant: for one key, from one Grant to the next there is a Release, which is proof that nothing ran.
-type Home struct {
+type Store struct {
 	window  time.Duration
 	most    int
 	bytes   int
@@ -97,21 +97,21 @@
 
 const (
 	// KeptBody is the largest body that is kept for a replay, in bytes.
-	KeptBody     = 16 << 10
-	recordBytes  = 256
-	lateReporter = 5 * time.Second
+	MaxStoredBody = 16 << 10
+	recordBytes   = 256
+	lateReporter  = 5 * time.Second
 )
 
 // NewHome returns an empty home that keeps keys for a window and at most a number of bytes.
-func NewHome(window time.Duration, mostBytes int) *Home {
-	return &Home{window: window, most: mostBytes, records: make(map[ID]*record)}
+func NewStore(window time.Duration, mostBytes int) *Store {
+	return &Store{window: window, most: mostBytes, records: make(map[ID]*record)}
 }
 
 // Len returns the number of keys remembered.
-func (h *Home) Len() int { return len(h.records) }
+func (h *Store) Len() int { return len(h.records) }
 
 // Claim decides about a request.
-func (h *Home) Claim(now time.Time, c Claim) (Verdict, Answer) {
+func (h *Store) Claim(now time.Time, c Claim) (Verdict, Answer) {
 	h.expire(now)
 	r := h.records[c.ID]
 	if r == nil {
@@ -144,15 +144,15 @@
 	return Grant, Answer{}
 }
 
-func (h *Home) claimNew(now time.Time, c Claim) Verdict {
-	if !c.Covered && (c.Attempt != 1 || c.Fence) {
+func (h *Store) claimNew(now time.Time, c Claim) Verdict {
+	if !c.CompleteHistory && (c.Attempt != 1 || c.Fence) {
 		return Unknown
 	}
 	// A re-send that barred a late first attempt may have run, and this home may have forgotten it.
-	if !c.Covered && !c.Vouched {
-		return Young
+	if !c.CompleteHistory && !c.Vouched {
+		return IncompleteHistory
 	}
-	if h.bytes+recordBytes+KeptBody > h.most {
+	if h.bytes+recordBytes+MaxStoredBody > h.most {
 		return Full
 	}
 	r := &record{fingerprint: c.Fingerprint, at: now, status: fenced}
@@ -166,14 +166,14 @@
 	return Grant
 }
 
-func (h *Home) grant(now time.Time, r *record, c Claim) {
+func (h *Store) grant(now time.Time, r *record, c Claim) {
 	r.status = running
 	r.at = now
 	r.expires = c.Deadline.Add(lateReporter)
 }
 
 // Finish notes that a granted request ran, or that its fate is unknown.
-func (h *Home) Finish(now time.Time, id ID, outcome peerpb.Outcome, a Answer) {
+func (h *Store) Finish(now time.Time, id ID, outcome peerpb.Outcome, a Answer) {
 	r := h.records[id]
 	if r == nil || r.status != running && r.status != unknown {
 		return
@@ -185,14 +185,14 @@
 	}
 	r.status = ran
 	r.answer = Answer{Head: a.Head}
-	if a.Kept && len(a.Body) <= KeptBody {
+	if a.Stored && len(a.Body) <= MaxStoredBody {
 		r.answer = a
 		h.bytes += len(a.Body)
 	}
 }
 
 // Release notes that a granted request was not run; the key may be granted again.
-func (h *Home) Release(now time.Time, id ID) {
+func (h *Store) Release(now time.Time, id ID) {
 	r := h.records[id]
 	if r == nil || r.status != running {
 		return
@@ -202,7 +202,7 @@
 }
 
 // expire forgets the keys whose window has passed; a key used again later in the order is looked at again then.
-func (h *Home) expire(now time.Time) {
+func (h *Store) expire(now time.Time) {
 	for len(h.order) > 0 {
 		id := h.order[0]
 		r := h.records[id]
--- a/dedupe/script_test.go
+++ b/dedupe/script_test.go
@@ -23,7 +23,7 @@
 //	wait for=1m
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		var h *Home
+		var h *Store
 		now := time.Unix(0, 0)
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			id := ID{Scope: "s"}
@@ -32,9 +32,9 @@
 			case "home":
 				most := 1 << 20
 				d.MaybeScanArgs(t, "bytes", &most)
-				h = NewHome(span(t, d, "window", "10m"), most)
+				h = NewStore(span(t, d, "window", "10m"), most)
 			case "claim":
-				c := Claim{ID: id, Fence: d.HasArg("fence"), Covered: d.HasArg("covered"), Vouched: d.HasArg("vouched"), Deadline: now.Add(span(t, d, "within", "1s"))}
+				c := Claim{ID: id, Fence: d.HasArg("fence"), CompleteHistory: d.HasArg("covered"), Vouched: d.HasArg("vouched"), Deadline: now.Add(span(t, d, "within", "1s"))}
 				d.MaybeScanArgs(t, "attempt", &c.Attempt)
 				d.MaybeScanArgs(t, "print", &c.Fingerprint)
 				v, a := h.Claim(now, c)
@@ -46,7 +46,7 @@
 				if d.HasArg("lost") {
 					outcome = peerpb.Outcome_OUTCOME_UNKNOWN
 				}
-				h.Finish(now, id, outcome, Answer{Head: &peerpb.Head{Status: 200}, Body: []byte(body), Kept: true})
+				h.Finish(now, id, outcome, Answer{Head: &peerpb.Head{Status: 200}, Body: []byte(body), Stored: true})
 			case "release":
 				h.Release(now, id)
 			case "wait":
@@ -73,7 +73,7 @@
 // and that a key that ran is never granted again within the window.
 func TestOneGrantUntilRelease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := NewHome(time.Minute, 64<<10)
+		h := NewStore(time.Minute, 64<<10)
 		now := time.Unix(0, 0)
 		type life struct {
 			held, ran bool
@@ -85,7 +85,7 @@
 			"claim": func(t *rapid.T) {
 				c := Claim{
 					ID: key.Draw(t, "id"), Attempt: rapid.Uint32Range(0, 3).Draw(t, "attempt"),
-					Fence: rapid.Bool().Draw(t, "fence"), Covered: rapid.Bool().Draw(t, "covered"), Vouched: rapid.Bool().Draw(t, "vouched"),
+					Fence: rapid.Bool().Draw(t, "fence"), CompleteHistory: rapid.Bool().Draw(t, "covered"), Vouched: rapid.Bool().Draw(t, "vouched"),
 					Deadline: now.Add(time.Second),
 				}
 				v, _ := h.Claim(now, c)
--- a/director/capacity_test.go
+++ b/director/capacity_test.go
@@ -67,11 +67,11 @@
 			d := ownHall(b, n)
 			b.ReportAllocs()
 			for b.Loop() {
-				p, err := d.Pick(b.Context(), Wish{Service: "desk", Free: true, Near: true})
+				p, err := d.Pick(b.Context(), PickOptions{Service: "desk", RequireFreeSlot: true, LocalHallOnly: true})
 				if err != nil {
 					b.Fatal(err)
 				}
-				d.Done(Report{Service: "desk", Pick: p, Worked: true})
+				d.Done(Report{Service: "desk", Pick: p, Received: true})
 			}
 		})
 	}
--- a/director/cold_test.go
+++ b/director/cold_test.go
@@ -15,7 +15,7 @@
 	const tries = 4000
 	n := 0
 	for range tries {
-		p, got := picked(t, d, Wish{Tried: []string{"e-h0-00"}})
+		p, got := picked(t, d, PickOptions{Exclude: []string{"e-h0-00"}})
 		if got == endpoint {
 			n++
 		}
@@ -32,7 +32,7 @@
 	d := directorIn(t, state.Load)
 	even := shareOf(t, d, "e-h0-01")
 	say := func(cold time.Duration) {
-		p, _ := picked(t, d, Wish{Only: "e-h0-01"})
+		p, _ := picked(t, d, PickOptions{Pinned: "e-h0-01"})
 		micros := cold.Microseconds()
 		d.Done(Report{Service: "desk", Pick: p, Load: &peerpb.Load{Slots: 4, ColdMicros: &micros}})
 	}
--- a/director/director.go
+++ b/director/director.go
@@ -21,11 +21,11 @@
 	// Hall is the node's hall.
 	Hall string
 	// Choosers returns the hosts of the hall in order, the same list until they are others; nil stands for none.
-	Choosers func() []string
+	HallHosts func() []string
 	// RegionOf returns the region of a hall, "" for none that is known; nil stands for that.
 	RegionOf func(hall string) string
 	// Distance is the time there and back to another hall.
-	Distance time.Duration
+	InterHallRTT time.Duration
 	// Ejection is the policy of ejections but for what a service's row says; the zero value stands for the default.
 	Ejection eject.Config
 }
@@ -61,7 +61,7 @@
 
 type runtime struct {
 	key        string
-	detector   *eject.Service
+	detector   *eject.Detector
 	targets    map[string]*target
 	phases     map[string]eject.Phase
 	revision   table.Revisions
@@ -84,8 +84,8 @@
 	if cfg.RegionOf == nil {
 		cfg.RegionOf = func(string) string { return "" }
 	}
-	if cfg.Choosers == nil {
-		cfg.Choosers = func() []string { return nil }
+	if cfg.HallHosts == nil {
+		cfg.HallHosts = func() []string { return nil }
 	}
 	d := &Director{
 		cfg: cfg, log: log, state: state, leaving: leaving, usable: usable,
@@ -168,7 +168,7 @@
 			return nil
 		}
 		rt = &runtime{
-			key: key, detector: eject.NewService(d.cfg.Ejection),
+			key: key, detector: eject.NewDetector(d.cfg.Ejection),
 			targets: make(map[string]*target), phases: make(map[string]eject.Phase), evacuated: make(map[string]bool),
 		}
 		d.services[key] = rt
--- a/director/evacuated_test.go
+++ b/director/evacuated_test.go
@@ -44,7 +44,7 @@
 func directorIn(t testing.TB, state func() *table.State) *Director {
 	t.Helper()
 	log := zerolog.Nop()
-	d := New(Config{Host: "h0-00", Hall: "hall-0", Choosers: func() []string { return []string{"h0-00", "h0-01"} }}, &log, state,
+	d := New(Config{Host: "h0-00", Hall: "hall-0", HallHosts: func() []string { return []string{"h0-00", "h0-01"} }}, &log, state,
 		func(string) bool { return false }, func(string) bool { return true })
 	if err := d.Start(t.Context()); err != nil {
 		t.Fatal(err)
@@ -66,7 +66,7 @@
 			d := directorIn(t, func() *table.State { return s })
 			seen := make(map[string]bool)
 			for range 2000 {
-				p, got := picked(t, d, Wish{})
+				p, got := picked(t, d, PickOptions{})
 				if got == string(fault.NoEndpoint) {
 					break
 				}
@@ -80,7 +80,7 @@
 				t.Errorf("endpoints picked: got %d, want at least %d", got, least)
 			}
 			for _, h := range c.evacuated {
-				if _, got := picked(t, d, Wish{Only: fmt.Sprintf("e-h%d-07", h)}); got != string(fault.NoEndpoint) {
+				if _, got := picked(t, d, PickOptions{Pinned: fmt.Sprintf("e-h%d-07", h)}); got != string(fault.NoEndpoint) {
 					t.Errorf("one that is asked for by name: got %s, want %s", got, fault.NoEndpoint)
 				}
 			}
@@ -99,7 +99,7 @@
 	var state atomic.Pointer[table.State]
 	state.Store(next)
 	d := directorIn(t, state.Load)
-	picked(t, d, Wish{})
+	picked(t, d, PickOptions{})
 	for _, e := range d.Explain("desk") {
 		in := e.Endpoint == "e-h1-00" || e.Endpoint == "e-h1-01"
 		if e.Evacuated != in || e.Open == in || in && (e.EvacuatedBy != "ann" || e.EvacuatedSince.UnixMilli() != 7000) {
--- a/director/members_test.go
+++ b/director/members_test.go
@@ -172,8 +172,8 @@
 }
 
 // detectorOf returns a host's detector after some work of its members.
-func detectorOf(f fleet, members []int, failing []bool, floor float64, random *rand.Rand) *eject.Service {
-	s := eject.NewService(eject.DefaultConfig().With(1, floor))
+func detectorOf(f fleet, members []int, failing []bool, floor float64, random *rand.Rand) *eject.Detector {
+	s := eject.NewDetector(eject.DefaultConfig().With(1, floor))
 	now := time.Unix(0, 0)
 	var list []eject.Endpoint
 	for _, i := range members {
@@ -182,7 +182,7 @@
 	s.SetEndpoints(now, list)
 	for range 300 {
 		i := members[random.IntN(len(members))]
-		ev := eject.Event{Kind: eject.Success, Latency: 5 * time.Millisecond}
+		ev := eject.Observation{Kind: eject.Success, Latency: 5 * time.Millisecond}
 		if failing[i] {
 			ev.Kind = eject.Failure
 		}
@@ -216,7 +216,7 @@
 		t.Fatal(err)
 	}
 	log := zerolog.Nop()
-	d := New(Config{Host: "h001", Hall: "hall-1", Choosers: func() []string { return hosts }}, &log,
+	d := New(Config{Host: "h001", Hall: "hall-1", HallHosts: func() []string { return hosts }}, &log,
 		func() *table.State { return s }, func(string) bool { return false }, func(string) bool { return true })
 	if err := d.Start(t.Context()); err != nil {
 		t.Fatal(err)
@@ -232,7 +232,7 @@
 	const tries = 200
 	own := 0
 	for range tries {
-		p, got := picked(t, d, Wish{Free: true, Near: true})
+		p, got := picked(t, d, PickOptions{RequireFreeSlot: true, LocalHallOnly: true})
 		if got == "e-h001" {
 			own++
 		}
@@ -243,7 +243,7 @@
 	}
 	held := 0
 	for range 10 {
-		if _, got := picked(t, d, Wish{Free: true, Near: true}); got == "e-h001" {
+		if _, got := picked(t, d, PickOptions{RequireFreeSlot: true, LocalHallOnly: true}); got == "e-h001" {
 			held++
 		}
 	}
@@ -258,14 +258,14 @@
 	d := ownHall(t, 60)
 	for i := 1; i <= 60; i++ {
 		key := fmt.Sprintf("e-h%03d", i)
-		if _, got := picked(t, d, Wish{Only: key}); got != key {
+		if _, got := picked(t, d, PickOptions{Pinned: key}); got != key {
 			t.Errorf("only %s: got %s", key, got)
 		}
-		if got, want := d.Homely(t.Context(), "desk", key), true; got != want {
+		if got, want := d.EligibleOwner(t.Context(), "desk", key), true; got != want {
 			t.Errorf("%s may be a home: got %v, want %v", key, got, want)
 		}
 	}
-	if _, got := picked(t, d, Wish{Only: "e-none"}); got != string(fault.NoEndpoint) {
+	if _, got := picked(t, d, PickOptions{Pinned: "e-none"}); got != string(fault.NoEndpoint) {
 		t.Errorf("only an endpoint that does not exist: got %s, want %s", got, fault.NoEndpoint)
 	}
 }
--- a/director/own.go
+++ b/director/own.go
@@ -24,8 +24,8 @@
 
 // ownFirst returns the place in the field of the endpoint beside this node if that is as good as any: no link carries the
 // request, nobody has to be asked for a slot, and what this node knows of it is the truth. It returns -1 for none.
-func (d *Director) ownFirst(v *view, f field, w Wish) int {
-	if w.Least || rand.Float64() < drawnShare { //nolint:gosec // a draw, no secret
+func (d *Director) ownFirst(v *view, f field, w PickOptions) int {
+	if w.ShortestWait || rand.Float64() < drawnShare { //nolint:gosec // a draw, no secret
 		return -1
 	}
 	for n, i := range f.from {
@@ -40,6 +40,6 @@
 func (v *view) good(e *entry, c balance.Candidate) bool {
 	full := float64(e.endpoint.Value.Weight) * float64(e.endpoint.Value.Slots)
 	return e.verdict.Phase == eject.Serving && !c.Suspect && c.Weight >= full &&
-		float64(c.Outstanding) < ownShare*float64(c.Slots) && c.SuccessShare >= ownSuccess &&
-		(!v.marks.Known || c.Latency <= time.Duration(ownSlowdown*float64(v.marks.Middle)))
+		float64(c.Outstanding) < ownShare*float64(c.Slots) && c.SuccessRate >= ownSuccess &&
+		(!v.marks.Known || c.Latency <= time.Duration(ownSlowdown*float64(v.marks.Median)))
 }
--- a/director/pick.go
+++ b/director/pick.go
@@ -16,44 +16,44 @@
 )
 
 // Wish is what a request asks of its endpoint.
-type Wish struct {
+type PickOptions struct {
 	// Service is the service's key.
 	Service string
 	// Repeatable requests may try an endpoint that is on trial.
 	Repeatable bool
 	// Tried are the endpoints that were tried before.
-	Tried []string
+	Exclude []string
 	// Only restricts the choice to one endpoint.
-	Only string
+	Pinned string
 	// Free restricts the choice to endpoints that seem to have a free slot and to take such requests.
-	Free bool
+	RequireFreeSlot bool
 	// Again is set for a further send of a request, which takes from the endpoint's retries.
-	Again bool
+	IsRetry bool
 	// Near restricts the choice to the own hall.
-	Near bool
+	LocalHallOnly bool
 	// Regions are those in which the request's data may be.
 	Regions region.Set
 	// Least asks for the endpoint with the shortest wait instead of a draw.
-	Least bool
+	ShortestWait bool
 }
 
 const leastShare = 0.05
 
 // Pick chooses an endpoint, NoEndpoint when none can be tried, Busy when all that the wish allows but for its Tried are
 // without a free slot. Done must follow.
-func (d *Director) Pick(ctx context.Context, w Wish) (Pick, error) {
+func (d *Director) Pick(ctx context.Context, w PickOptions) (Pick, error) {
 	v, err := d.view(ctx, w.Service)
 	if err != nil {
 		return Pick{}, err
 	}
 	now := time.Now()
-	if w.Only != "" && v.find(w.Only) < 0 {
+	if w.Pinned != "" && v.find(w.Pinned) < 0 {
 		return d.pickOutside(v, w, now)
 	}
 	f := field{candidates: make([]balance.Candidate, 0, len(v.entries)), from: make([]int, 0, len(v.entries))}
 	for i := range v.entries {
 		e := &v.entries[i]
-		if w.Near && e.endpoint.Value.Hall != d.cfg.Hall || !d.open(e, now) || !d.allowed(e, w) {
+		if w.LocalHallOnly && e.endpoint.Value.Hall != d.cfg.Hall || !d.open(e, now) || !d.allowed(e, w) {
 			continue
 		}
 		if w.allows(e.endpoint.Key) && e.verdict.Phase == eject.Trickle && e.trickles(w) {
@@ -75,25 +75,25 @@
 }
 
 // refusal is why no endpoint was chosen, some of them being without a free slot alone.
-func (w Wish) refusal(busy bool) error {
+func (w PickOptions) refusal(busy bool) error {
 	switch {
 	case busy:
 		return fault.New(fault.Busy, w.Service, "no endpoint has a free slot")
-	case w.Regions.Bound():
+	case w.Regions.IsRestricted():
 		return fault.New(fault.OutOfRegion, w.Service, "no endpoint of a region where the data may be takes new work")
 	}
 	return fault.New(fault.NoEndpoint, w.Service, "no endpoint takes new work")
 }
 
 // allowed tells whether the request's data may be where an endpoint stands.
-func (d *Director) allowed(e *entry, w Wish) bool {
-	return !w.Regions.Bound() || w.Regions.Allows(d.cfg.RegionOf(e.endpoint.Value.Hall))
+func (d *Director) allowed(e *entry, w PickOptions) bool {
+	return !w.Regions.IsRestricted() || w.Regions.Allows(d.cfg.RegionOf(e.endpoint.Value.Hall))
 }
 
 // pickAllowed picks any open endpoint in a region where the request's data may be, if it may not be in all, among those that this node does
 // not send to otherwise: few of its members, or none, may stand there.
-func (d *Director) pickAllowed(v *view, w Wish, now time.Time) (Pick, bool) {
-	if !w.Regions.Bound() || w.Near {
+func (d *Director) pickAllowed(v *view, w PickOptions, now time.Time) (Pick, bool) {
+	if !w.Regions.IsRestricted() || w.LocalHallOnly {
 		return Pick{}, false
 	}
 	var picked entry
@@ -128,7 +128,7 @@
 }
 
 // consider adds an open endpoint to the field, or notes that it has no free slot.
-func (d *Director) consider(f *field, v *view, i int, w Wish, now time.Time) {
+func (d *Director) consider(f *field, v *view, i int, w PickOptions, now time.Time) {
 	e := &v.entries[i]
 	if !w.allows(e.endpoint.Key) {
 		f.busy = f.busy || e.target.busy(now)
@@ -138,7 +138,7 @@
 		return
 	}
 	c := d.candidate(v, e, now)
-	if w.Free && (c.Outstanding >= c.Slots || e.target.declining(now, w, c.Far)) {
+	if w.RequireFreeSlot && (c.Outstanding >= c.Slots || e.target.declining(now, w, c.OtherHall)) {
 		f.busy = f.busy || c.Outstanding >= c.Slots || e.target.busy(now)
 		return
 	}
@@ -147,14 +147,14 @@
 }
 
 // allows tells whether the wish leaves an endpoint to choose.
-func (w Wish) allows(key string) bool {
-	return !slices.Contains(w.Tried, key) && (w.Only == "" || key == w.Only)
+func (w PickOptions) allows(key string) bool {
+	return !slices.Contains(w.Exclude, key) && (w.Pinned == "" || key == w.Pinned)
 }
 
-func (w Wish) choose(candidates []balance.Candidate) int {
+func (w PickOptions) choose(candidates []balance.Candidate) int {
 	random := rand.New(globalSource{}) //nolint:gosec // a draw, no secret
-	if w.Least {
-		return balance.Least(candidates, random)
+	if w.ShortestWait {
+		return balance.LowestCost(candidates, random)
 	}
 	return balance.Choose(candidates, random)
 }
@@ -165,8 +165,8 @@
 }
 
 // trickles takes the endpoint's one trial at a time, if the request may be it.
-func (e *entry) trickles(w Wish) bool {
-	return w.Repeatable && len(w.Tried) == 0 && e.target.trickling.CompareAndSwap(false, true)
+func (e *entry) trickles(w PickOptions) bool {
+	return w.Repeatable && len(w.Exclude) == 0 && e.target.trickling.CompareAndSwap(false, true)
 }
 
 // globalSource draws from the runtime's random numbers, which need no lock.
@@ -183,21 +183,21 @@
 
 func (d *Director) candidate(v *view, e *entry, now time.Time) balance.Candidate {
 	row := e.endpoint.Value
-	distance := d.cfg.Distance
+	distance := d.cfg.InterHallRTT
 	if row.Hall == d.cfg.Hall {
 		distance = 0
 	}
 	return balance.Candidate{
-		Key:          e.endpoint.Key,
-		Weight:       float64(row.Weight) * float64(row.Slots) * e.verdict.Share * e.target.warmth(now, time.Duration(v.service.Value.Warmup)),
-		Slots:        int(row.Slots),
-		Outstanding:  e.target.outstanding(now),
-		Latency:      time.Duration(math.Float64frombits(e.target.latency.Load())),
-		Distance:     distance,
-		Far:          row.Hall != d.cfg.Hall,
-		SuccessShare: math.Float64frombits(e.target.success.Load()),
-		LastChoice:   e.verdict.Phase == eject.LastChoice,
-		Suspect:      e.verdict.Suspect,
+		Key:         e.endpoint.Key,
+		Weight:      float64(row.Weight) * float64(row.Slots) * e.verdict.Share * e.target.warmth(now, time.Duration(v.service.Value.Warmup)),
+		Slots:       int(row.Slots),
+		Outstanding: e.target.outstanding(now),
+		Latency:     time.Duration(math.Float64frombits(e.target.latency.Load())),
+		RTT:         distance,
+		OtherHall:   row.Hall != d.cfg.Hall,
+		SuccessRate: math.Float64frombits(e.target.success.Load()),
+		LastChoice:  e.verdict.Phase == eject.LastChoice,
+		Suspect:     e.verdict.Suspect,
 	}
 }
 
@@ -205,10 +205,10 @@
 
 func (v *view) pickEntry(e *entry, trial bool) Pick {
 	e.target.inFlight.Add(1)
-	p := Pick{Endpoint: e.endpoint, Trial: trial, target: e.target, SeenMillis: e.target.idle(time.Now())}
-	p.Typical = time.Duration(math.Float64frombits(e.target.latency.Load()))
+	p := Pick{Endpoint: e.endpoint, Trial: trial, target: e.target, ReportAgeMillis: e.target.idle(time.Now())}
+	p.TypicalLatency = time.Duration(math.Float64frombits(e.target.latency.Load()))
 	if v.marks.Known {
-		p.Late = v.marks.Late
+		p.OverdueAfter = v.marks.Late
 	}
 	return p
 }
@@ -233,16 +233,16 @@
 }
 
 // pickOutside picks the one endpoint that is asked for and that this node does not send to of its own choice.
-func (d *Director) pickOutside(v *view, w Wish, now time.Time) (Pick, error) {
-	e, ok := d.outside(v, w.Only)
-	if !ok || !w.allows(w.Only) || !d.open(&e, now) || !d.allowed(&e, w) {
+func (d *Director) pickOutside(v *view, w PickOptions, now time.Time) (Pick, error) {
+	e, ok := d.outside(v, w.Pinned)
+	if !ok || !w.allows(w.Pinned) || !d.open(&e, now) || !d.allowed(&e, w) {
 		return Pick{}, fault.New(fault.NoEndpoint, w.Service, "the endpoint takes no new work")
 	}
 	return v.pickEntry(&e, false), nil
 }
 
 // Homely tells whether the endpoint would be chosen at all, and so may run a keyed request at its home.
-func (d *Director) Homely(ctx context.Context, service, endpoint string) bool {
+func (d *Director) EligibleOwner(ctx context.Context, service, endpoint string) bool {
 	v, err := d.view(ctx, service)
 	if err != nil {
 		return false
--- a/director/pick_test.go
+++ b/director/pick_test.go
@@ -44,7 +44,7 @@
 }
 
 // picked returns the endpoint that a wish gets, or the code of its refusal.
-func picked(t *testing.T, d *Director, w Wish) (Pick, string) {
+func picked(t *testing.T, d *Director, w PickOptions) (Pick, string) {
 	t.Helper()
 	w.Service = "desk"
 	p, err := d.Pick(t.Context(), w)
@@ -58,7 +58,7 @@
 // when it has nobody.
 func TestNearWaitsForABusyHall(t *testing.T) {
 	d := halls(t)
-	near := Wish{Free: true, Near: true}
+	near := PickOptions{RequireFreeSlot: true, LocalHallOnly: true}
 	first, got := picked(t, d, near)
 	if want := "e1"; got != want {
 		t.Fatalf("first: got %s, want %s", got, want)
@@ -66,10 +66,10 @@
 	if _, got := picked(t, d, near); got != string(fault.Busy) {
 		t.Errorf("while its slot is taken: got %s, want %s", got, fault.Busy)
 	}
-	if _, got := picked(t, d, Wish{Free: true}); got != "e2" {
+	if _, got := picked(t, d, PickOptions{RequireFreeSlot: true}); got != "e2" {
 		t.Errorf("without the restriction: got %s, want e2", got)
 	}
-	d.Done(Report{Service: "desk", Pick: first, Declined: true, Load: &peerpb.Load{Slots: 1, Trial: true}})
+	d.Done(Report{Service: "desk", Pick: first, Refused: true, Load: &peerpb.Load{Slots: 1, Trial: true}})
 	if _, got := picked(t, d, near); got != string(fault.NoEndpoint) {
 		t.Errorf("while it takes only trials: got %s, want %s", got, fault.NoEndpoint)
 	}
@@ -83,14 +83,14 @@
 	target.declinedAt.Store(now.UnixNano())
 	later := now.Add(2 * declinedLife)
 	for _, c := range []struct{ far, want bool }{{false, false}, {true, true}} {
-		if got := target.declining(later, Wish{Repeatable: true}, c.far); got != c.want {
+		if got := target.declining(later, PickOptions{Repeatable: true}, c.far); got != c.want {
 			t.Errorf("far=%v: got declining %v, want %v", c.far, got, c.want)
 		}
 	}
 	target = newTarget()
 	target.spentAt.Store(now.UnixNano())
 	for _, c := range []struct{ again, want bool }{{false, false}, {true, true}} {
-		if got := target.declining(later, Wish{Repeatable: true, Again: c.again}, false); got != c.want {
+		if got := target.declining(later, PickOptions{Repeatable: true, IsRetry: c.again}, false); got != c.want {
 			t.Errorf("without retries left, again=%v: got declining %v, want %v", c.again, got, c.want)
 		}
 	}
--- a/director/regions_test.go
+++ b/director/regions_test.go
@@ -44,9 +44,9 @@
 			rt.Fatal(err)
 		}
 		defer func() { _ = d.Stop(context.Background()) }()
-		w := Wish{
-			Regions: region.Any.With(rapid.SampledFrom([][]string{{"a"}, {"b", "c"}, {"d"}}).Draw(rt, "bound")),
-			Free:    rapid.Bool().Draw(rt, "free"), Least: rapid.Bool().Draw(rt, "least"), Repeatable: rapid.Bool().Draw(rt, "repeatable"),
+		w := PickOptions{
+			Regions:         region.Any.Intersect(rapid.SampledFrom([][]string{{"a"}, {"b", "c"}, {"d"}}).Draw(rt, "bound")),
+			RequireFreeSlot: rapid.Bool().Draw(rt, "free"), ShortestWait: rapid.Bool().Draw(rt, "least"), Repeatable: rapid.Bool().Draw(rt, "repeatable"),
 		}
 		open := 0
 		for _, e := range mustService(t, s).Endpoints {
@@ -65,7 +65,7 @@
 			if p.Endpoint.Key == "" || !w.Regions.Allows(regions[p.Endpoint.Value.Hall]) || s.Evacuated(p.Endpoint.Value.Hall) {
 				rt.Fatalf("choice %d of %d: got %s in %s of %q", n, open, got, p.Endpoint.Value.Hall, regions[p.Endpoint.Value.Hall])
 			}
-			w.Tried = append(w.Tried, got)
+			w.Exclude = append(w.Exclude, got)
 		}
 	})
 }
--- a/director/report.go
+++ b/director/report.go
@@ -15,15 +15,15 @@
 	// Pick is the choice that led to the exchange.
 	Pick Pick
 	// Worked is set when the endpoint had the request.
-	Worked bool
+	Received bool
 	// Failed is set when it did not do the work.
 	Failed bool
 	// Declined is set when it turned the request away before anything was sent.
-	Declined bool
+	Refused bool
 	// Spent is set when it had no retry left.
-	Spent bool
+	OutOfRetries bool
 	// WasLate is set when the exchange was reported overdue before.
-	WasLate bool
+	WasOverdue bool
 	// Load is what the egress attached, nil when nothing came back.
 	Load *peerpb.Load
 }
@@ -37,13 +37,13 @@
 		t.trickling.Store(false)
 	}
 	t.noteLoad(now, r.Load)
-	if r.Declined {
+	if r.Refused {
 		t.declinedAt.Store(now.UnixNano())
 	}
-	if r.Spent {
+	if r.OutOfRetries {
 		t.spentAt.Store(now.UnixNano())
 	}
-	if r.Worked {
+	if r.Received {
 		success := 1.0
 		if r.Failed {
 			success = 0
@@ -63,8 +63,8 @@
 	}
 	key := r.Pick.Endpoint.Key
 	before := rt.detector.Verdict(key)
-	if r.Worked {
-		ev := eject.Event{Kind: eject.Success, Counted: r.WasLate}
+	if r.Received {
+		ev := eject.Observation{Kind: eject.Success, WasOverdue: r.WasOverdue}
 		if r.Failed {
 			ev.Kind = eject.Failure
 		}
@@ -83,7 +83,7 @@
 	if r.Load == nil {
 		return
 	}
-	if r.Worked {
+	if r.Received {
 		t.ownFinished++
 		if r.Failed {
 			t.ownFailed++
@@ -95,7 +95,7 @@
 	} else if finished > t.totalFinished {
 		others := lessOwn(finished-t.totalFinished, t.ownFinished)
 		othersFailed := min(others, lessOwn(failed-min(failed, t.totalFailed), t.ownFailed))
-		rt.detector.Report(now, key, others, othersFailed)
+		rt.detector.ObserveCounts(now, key, others, othersFailed)
 	} else {
 		// An answer that was overtaken by a later one; its work is in the later totals already.
 		return
@@ -107,7 +107,7 @@
 func lessOwn(total, own uint64) uint64 { return total - min(total, own) }
 
 // Late reports an exchange that has taken long and has not ended.
-func (d *Director) Late(service string, p Pick) {
+func (d *Director) ReportOverdue(service string, p Pick) {
 	d.send(lateMessage{service: service, pick: p})
 }
 
@@ -123,7 +123,7 @@
 	}
 	key := m.pick.Endpoint.Key
 	before := rt.detector.Verdict(key)
-	rt.detector.Observe(now, key, eject.Event{Kind: eject.Overdue, Latency: m.pick.Late + time.Microsecond})
+	rt.detector.Observe(now, key, eject.Observation{Kind: eject.Overdue, Latency: m.pick.OverdueAfter + time.Microsecond})
 	if rt.detector.Verdict(key).Differs(before) {
 		d.refresh(now, rt)
 	}
--- a/director/target.go
+++ b/director/target.go
@@ -53,7 +53,7 @@
 
 // declining tells whether an endpoint has just said that it would turn such a request away. Of another hall that is
 // believed longer, and also of what could be a trial there: each question costs bytes between halls.
-func (t *target) declining(now time.Time, w Wish, far bool) bool {
+func (t *target) declining(now time.Time, w PickOptions, far bool) bool {
 	life := declinedLife
 	if far {
 		life = farDeclinedLife
@@ -61,7 +61,7 @@
 	if now.UnixNano()-t.declinedAt.Load() < int64(life) {
 		return true
 	}
-	if w.Again && now.UnixNano()-t.spentAt.Load() < int64(spentLife) {
+	if w.IsRetry && now.UnixNano()-t.spentAt.Load() < int64(spentLife) {
 		return true
 	}
 	return (!w.Repeatable || far) && now.UnixNano()-t.trialAt.Load() < int64(trialLife)
@@ -151,12 +151,12 @@
 	// Endpoint is its row.
 	Endpoint table.Entry[table.Endpoint]
 	// Late is the service time after which the work counts as overdue, 0 while unknown.
-	Late time.Duration
+	OverdueAfter time.Duration
 	// Typical is the endpoint's usual service time, 0 while unknown.
-	Typical time.Duration
+	TypicalLatency time.Duration
 	// Trial is set when the endpoint is on trial and this is its one request.
 	Trial bool
 	// SeenMillis is how old this node's latest word of the endpoint was at the choice, in milliseconds, -1 for none.
-	SeenMillis int64
-	target     *target
+	ReportAgeMillis int64
+	target          *target
 }
--- a/director/view.go
+++ b/director/view.go
@@ -15,7 +15,7 @@
 	service  table.ServiceView
 	// entries are the endpoints that this node sends to.
 	entries []entry
-	marks   eject.Marks
+	marks   eject.Baselines
 }
 
 type entry struct {
@@ -57,7 +57,7 @@
 
 // rejoin works out anew which endpoints this node sends to, if these or the hall's hosts are others than before.
 func (d *Director) rejoin(now time.Time, rt *runtime, sv table.ServiceView) {
-	choosers := d.cfg.Choosers()
+	choosers := d.cfg.HallHosts()
 	if rt.membership.fits(sv.Endpoints, choosers) {
 		return
 	}
@@ -121,7 +121,7 @@
 }
 
 func (d *Director) viewOf(rt *runtime, s *table.State, sv table.ServiceView, members []int) *view {
-	v := &view{revision: s.Revision(), service: sv, marks: rt.detector.Marks(), entries: make([]entry, 0, len(members))}
+	v := &view{revision: s.Revision(), service: sv, marks: rt.detector.Baselines(), entries: make([]entry, 0, len(members))}
 	rt.unsettled = false
 	for _, i := range members {
 		e := sv.Endpoints[i]
--- a/egress/cold.go
+++ b/egress/cold.go
@@ -61,8 +61,8 @@
 		l.saysNothing()
 		return
 	}
-	if r, ok := e.announced.Endpoint(l.key); ok && !r.ToldAt.IsZero() {
-		l.told(r.ToldAt, r.ColdUntil)
+	if r, ok := e.announced.Endpoint(l.key); ok && !r.ReportedAt.IsZero() {
+		l.told(r.ReportedAt, r.ColdUntil)
 	}
 }
 
@@ -70,7 +70,7 @@
 func (l *local) told(at, coldUntil time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.cold.Told(at, coldUntil)
+	l.cold.Report(at, coldUntil)
 	l.spoke = true
 }
 
@@ -78,7 +78,7 @@
 func (l *local) saysNothing() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.cold.Told(l.clock(), l.coldTill)
+	l.cold.Report(l.clock(), l.coldTill)
 }
 
 // admitCold lets a request pass the door now, else tells when to come back.
@@ -94,7 +94,7 @@
 func (l *local) notSent() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.cold.Return(l.clock())
+	l.cold.Refund(l.clock())
 }
 
 // mayBeCold takes it that the endpoint may have turned cold.
@@ -102,7 +102,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock()
-	l.cold.Doubt(now)
+	l.cold.MarkPossiblyCold(now)
 	l.coldTill = now.Add(l.warmup)
 }
 
@@ -111,6 +111,6 @@
 	if !l.spoke {
 		return nil
 	}
-	micros := l.cold.Cold(l.clock()).Microseconds()
+	micros := l.cold.ColdRemaining(l.clock()).Microseconds()
 	return &micros
 }
--- a/egress/cold_test.go
+++ b/egress/cold_test.go
@@ -61,14 +61,14 @@
 		t.Fatal(err)
 	}
 	cfg := Config{
-		Host: "h1", Hall: "hall-1", ProbeEvery: time.Second, KeyWindow: time.Minute, KeyBytes: 1 << 20,
-		Cold: coldstart.Bound{Over: 1.2, Slack: 4},
+		Host: "h1", Hall: "hall-1", ProbeInterval: time.Second, KeyWindow: time.Minute, KeyBytes: 1 << 20,
+		ColdLimit: coldstart.Bound{RateFactor: 1.2, Slack: 4},
 	}
 	e = New(cfg, &log, func() *table.State { return s }, WithRegistry(r))
 	sequence := uint64(0)
 	say = func(cold time.Duration) {
 		sequence++
-		beat := registry.Beat{
+		beat := registry.Heartbeat{
 			Instance: "e1", Service: "desk", Address: strings.TrimPrefix(server.URL, "http://"), Slots: 50, Sequence: sequence, Cold: cold,
 		}
 		if err := r.Beat(beat); err != nil {
@@ -168,7 +168,7 @@
 	e.clock = func() time.Time { return clock.Boot().Add(lost) }
 	say(0)
 	d := coldLookup(false)
-	end := e.Serve(t.Context(), d, strings.NewReader(""), slowWord{meanwhile: func() { lost = 2 * coldstart.SendWithin }})
+	end := e.Serve(t.Context(), d, strings.NewReader(""), slowWord{meanwhile: func() { lost = 2 * coldstart.MaxSendDelay }})
 	if got, want := end.GetCode(), string(fault.OfferLapsed); got != want || end.GetOutcome() != peerpb.Outcome_OUTCOME_NOT_RUN {
 		t.Errorf("late word: got %v, want not run, %q", end, want)
 	}
--- a/egress/door.go
+++ b/egress/door.go
@@ -18,18 +18,18 @@
 // Arrivals counts what was handed to an endpoint.
 type Arrivals struct {
 	// First counts the first sends of callers' requests and of calls, Further the further ones.
-	First   uint64 `json:"first"`
-	Further uint64 `json:"further"`
+	FirstSends uint64 `json:"first"`
+	Retries    uint64 `json:"further"`
 	// OfFurther is about how many of the first ones are calls of work that was itself a further send.
-	OfFurther float64 `json:"of_further"`
+	CallsOfRetries float64 `json:"of_further"`
 	// Spent counts the further sends that were refused because no retry was left.
-	Spent uint64 `json:"spent"`
+	RetriesRefused uint64 `json:"spent"`
 }
 
 // since returns what came after an earlier count.
 func (a Arrivals) since(b Arrivals) Arrivals {
 	return Arrivals{
-		First: a.First - b.First, Further: a.Further - b.Further, OfFurther: a.OfFurther - b.OfFurther, Spent: a.Spent - b.Spent,
+		FirstSends: a.FirstSends - b.FirstSends, Retries: a.Retries - b.Retries, CallsOfRetries: a.CallsOfRetries - b.CallsOfRetries, RetriesRefused: a.RetriesRefused - b.RetriesRefused,
 	}
 }
 
@@ -46,7 +46,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if d.GetRepeat() && !l.retries.Take(now) {
-		l.arrivals.Spent++
+		l.arrivals.RetriesRefused++
 		return peer.NotRun(fault.RetryBudget, shortRetryAfter)
 	}
 	return nil
@@ -57,7 +57,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if d.GetRepeat() {
-		l.retries.Return()
+		l.retries.Refund()
 	}
 }
 
@@ -67,14 +67,14 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if d.GetRepeat() {
-		l.arrivals.Further++
+		l.arrivals.Retries++
 		return
 	}
-	l.retries.Request(now, l.share)
+	l.retries.CountRequest(now, l.share)
 	// A call that may be of further work is never refused for it.
 	l.retries.Charge(now, d.GetOfRepeat())
-	l.arrivals.First++
-	l.arrivals.OfFurther += d.GetOfRepeat()
+	l.arrivals.FirstSends++
+	l.arrivals.CallsOfRetries += d.GetOfRepeat()
 }
 
 // handed returns what was handed to the endpoint since the node started.
@@ -90,11 +90,11 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.arrivals.since(l.arrivals.told)
-	if now.Sub(l.arrivals.toldAt) < tellArrivalsEvery || a.Further+a.Spent == 0 && a.OfFurther == 0 {
+	if now.Sub(l.arrivals.toldAt) < tellArrivalsEvery || a.Retries+a.RetriesRefused == 0 && a.CallsOfRetries == 0 {
 		return
 	}
 	events.FurtherSends.Log(log).Str("endpoint", l.key).Str("service", l.service).
-		Uint64("first", a.First).Uint64("further", a.Further).Float64("of_further", a.OfFurther).Uint64("spent", a.Spent).
-		Float64("left", l.retries.Left(now)).Float64("part", l.part).Dur("for", now.Sub(l.arrivals.toldAt)).Send()
+		Uint64("first", a.FirstSends).Uint64("further", a.Retries).Float64("of_further", a.CallsOfRetries).Uint64("spent", a.RetriesRefused).
+		Float64("left", l.retries.Remaining(now)).Float64("part", l.part).Dur("for", now.Sub(l.arrivals.toldAt)).Send()
 	l.arrivals.told, l.arrivals.toldAt = l.arrivals.Arrivals, now
 }
--- a/egress/due.go
+++ b/egress/due.go
@@ -27,7 +27,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	work, aim := workOf(d), aimLeft(d)
-	model := l.times.Of(work.Kind, work.Usual)
+	model := l.times.For(work.Kind, work.UsualTime)
 	if !model.Known() {
 		return aim / unknownDue
 	}
@@ -44,5 +44,5 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	work := workOf(d)
-	return l.times.Of(work.Kind, work.Usual).Quantile(expectedShare)
+	return l.times.For(work.Kind, work.UsualTime).Quantile(expectedShare)
 }
--- a/egress/egress.go
+++ b/egress/egress.go
@@ -36,12 +36,12 @@
 	// ProbePath is asked of an endpoint that said it is leaving.
 	ProbePath string
 	// ProbeEvery is the time between these questions.
-	ProbeEvery time.Duration
+	ProbeInterval time.Duration
 	// KeyWindow is how long idempotency keys are remembered.
 	KeyWindow time.Duration
 	// KeySettle is how long a change of the endpoints may take to be in force everywhere, for keys and for the parts of the
 	// retries alike.
-	KeySettle time.Duration
+	ConvergenceTime time.Duration
 	// KeyBytes bounds the memory for keys, in bytes.
 	KeyBytes int
 	// Contract says how endpoints are spoken to; nil stands for the product's own.
@@ -49,9 +49,9 @@
 	// Breaker is the policy for endpoints that break off their work.
 	Breaker breaker.Config
 	// Retries is the slack of retries that the fleet's endpoints share.
-	Retries retry.Share
+	Retries retry.FleetSlack
 	// Cold is by how much a second of a cold endpoint may go beyond what its service says that it bears; its Rate is not used.
-	Cold coldstart.Bound
+	ColdLimit coldstart.Bound
 }
 
 // Egress serves the endpoints beside this node; it is a kernel component.
@@ -65,7 +65,7 @@
 	pool    *upstream.Pool
 	// announced are the endpoints that announce themselves beside this node.
 	announced *registry.Registry
-	endings   Endings
+	endings   CrashTracker
 	clock     clock.Clock
 	// budget is what this node may hold of answers whose callers read slowly, or may ask again.
 	budget *memory.Budget
@@ -94,29 +94,29 @@
 )
 
 // Endings gathers what is known of requests under which endpoints ended.
-type Endings interface {
+type CrashTracker interface {
 	// Ends returns how many endpoints ended under a content.
-	Ends(c poison.Content) int
+	Ends(c poison.Fingerprint) int
 	// Ran notes that an endpoint ran a content to a good end.
-	Ran(c poison.Content)
+	Ran(c poison.Fingerprint)
 	// EndedHere takes it that an endpoint ended while it ran some contents.
-	EndedHere(endpoint, service string, contents []poison.Content)
+	EndedHere(endpoint, service string, contents []poison.Fingerprint)
 }
 
 // noEndings gathers nothing.
 type noEndings struct{}
 
 // Ends implements Endings.
-func (noEndings) Ends(poison.Content) int { return 0 }
+func (noEndings) Ends(poison.Fingerprint) int { return 0 }
 
 // Ran implements Endings.
-func (noEndings) Ran(poison.Content) {}
+func (noEndings) Ran(poison.Fingerprint) {}
 
 // EndedHere implements Endings.
-func (noEndings) EndedHere(string, string, []poison.Content) {}
+func (noEndings) EndedHere(string, string, []poison.Fingerprint) {}
 
 // WithEndings has the egress tell of endpoints that end, and refuse requests that end them.
-func WithEndings(g Endings) Option { return func(e *Egress) { e.endings = g } }
+func WithCrashTracker(g CrashTracker) Option { return func(e *Egress) { e.endings = g } }
 
 // WithClock replaces the clock that counts the time in which the host is suspended.
 func WithClock(c clock.Clock) Option { return func(e *Egress) { e.clock = c } }
@@ -143,7 +143,7 @@
 	}
 	e := &Egress{
 		cfg: cfg, log: log, state: state,
-		keys:   newKeys(dedupe.NewHome(cfg.KeyWindow, cfg.KeyBytes), cfg.KeyWindow, cfg.KeySettle),
+		keys:   newKeys(dedupe.NewStore(cfg.KeyWindow, cfg.KeyBytes), cfg.KeyWindow, cfg.ConvergenceTime),
 		locals: make(map[string]*local), records: newRecords(), pool: upstream.NewPool(), endings: noEndings{}, clock: clock.Boot,
 		budget: memory.New(defaultBudget),
 	}
@@ -233,10 +233,10 @@
 }
 
 // Work tells of the work that the endpoints beside this node have through it, and of that for a request, "" for none.
-func (e *Egress) Work(request string) inflight.Work { return e.working.Of(request) }
+func (e *Egress) Work(request string) inflight.Snapshot { return e.working.Snapshot(request) }
 
 // Settle notes how a claimed request ended elsewhere.
 func (e *Egress) Settle(msg *peerpb.Settle) {
-	a := dedupe.Answer{Head: msg.GetHead(), Body: msg.GetBody(), Kept: msg.GetHead() != nil}
+	a := dedupe.Answer{Head: msg.GetHead(), Body: msg.GetBody(), Stored: msg.GetHead() != nil}
 	e.keys.settle(time.Now(), msg.GetScope(), msg.GetKey(), msg.GetOutcome(), a)
 }
--- a/egress/ended.go
+++ b/egress/ended.go
@@ -28,7 +28,7 @@
 // brokenWork is a piece of work that broke off.
 type brokenWork struct {
 	request string
-	content poison.Content
+	content poison.Fingerprint
 	// began is when it was handed over, at when it broke off.
 	began, at time.Time
 	// verdict is told once whether the endpoint has ended.
@@ -41,8 +41,8 @@
 }
 
 // contentOf is what a request asks for, the zero content where the sender does not say.
-func contentOf(d *peerpb.Dispatch) poison.Content {
-	c, _ := poison.Read(d.GetContent())
+func contentOf(d *peerpb.Dispatch) poison.Fingerprint {
+	c, _ := poison.FingerprintFromBytes(d.GetContent())
 	return c
 }
 
@@ -144,7 +144,7 @@
 		return
 	}
 	list := zerolog.Arr()
-	contents := make([]poison.Content, 0, len(work))
+	contents := make([]poison.Fingerprint, 0, len(work))
 	for _, b := range work {
 		list.Object(b)
 		contents = append(contents, b.content)
@@ -168,7 +168,7 @@
 func (e *Egress) leaves(l *local) bool {
 	if e.announced != nil {
 		if r, ok := e.announced.Endpoint(l.key); ok {
-			return r.Leaving
+			return r.Draining
 		}
 	}
 	row, ok := e.state().Endpoint(l.key)
--- a/egress/ended_test.go
+++ b/egress/ended_test.go
@@ -21,24 +21,24 @@
 // endings notes what an egress tells of ends, and knows of some before.
 type endings struct {
 	mu     sync.Mutex
-	before map[poison.Content]int
-	ended  []poison.Content
-	ran    []poison.Content
+	before map[poison.Fingerprint]int
+	ended  []poison.Fingerprint
+	ran    []poison.Fingerprint
 	told   chan struct{}
 }
 
 // Ends implements Endings.
-func (n *endings) Ends(c poison.Content) int { return n.before[c] }
+func (n *endings) Ends(c poison.Fingerprint) int { return n.before[c] }
 
 // Ran implements Endings.
-func (n *endings) Ran(c poison.Content) {
+func (n *endings) Ran(c poison.Fingerprint) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.ran = append(n.ran, c)
 }
 
 // EndedHere implements Endings.
-func (n *endings) EndedHere(_, _ string, contents []poison.Content) {
+func (n *endings) EndedHere(_, _ string, contents []poison.Fingerprint) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.ended = append(n.ended, contents...)
@@ -47,15 +47,15 @@
 
 // asks is a request for a path.
 func asks(path string) *peerpb.Dispatch {
-	c := poison.ContentOf("", http.MethodGet, "", path, nil)
+	c := poison.FingerprintOf("", http.MethodGet, "", path, nil)
 	return &peerpb.Dispatch{
 		RequestId: path, Endpoint: "e1", Service: "desk", Method: http.MethodGet, Target: path, Repeatable: true,
 		BudgetMicros: (5 * time.Second).Microseconds(), Content: c[:],
 	}
 }
 
-func contentsOf(paths ...string) []poison.Content {
-	var out []poison.Content
+func contentsOf(paths ...string) []poison.Fingerprint {
+	var out []poison.Fingerprint
 	for _, path := range paths {
 		out = append(out, contentOf(asks(path)))
 	}
@@ -132,11 +132,11 @@
 		close(stop)
 		table.Wait()
 		n.mu.Lock()
-		slices.SortFunc(n.ended, func(a, b poison.Content) int { return strings.Compare(string(a[:]), string(b[:])) })
-		var want []poison.Content
+		slices.SortFunc(n.ended, func(a, b poison.Fingerprint) int { return strings.Compare(string(a[:]), string(b[:])) })
+		var want []poison.Fingerprint
 		if ends {
 			want = contentsOf(paths...)
-			slices.SortFunc(want, func(a, b poison.Content) int { return strings.Compare(string(a[:]), string(b[:])) })
+			slices.SortFunc(want, func(a, b poison.Fingerprint) int { return strings.Compare(string(a[:]), string(b[:])) })
 		}
 		if got := n.ended; !slices.Equal(got, want) {
 			t.Errorf("told with ends=%v: got %v, want %v", ends, got, want)
@@ -200,7 +200,7 @@
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") }))
 	t.Cleanup(server.Close)
 	e, n := watched(t, strings.TrimPrefix(server.URL, "http://"), table.Active)
-	n.before = map[poison.Content]int{contentsOf("/deadly")[0]: poison.BarAfter}
+	n.before = map[poison.Fingerprint]int{contentsOf("/deadly")[0]: poison.BlockThreshold}
 	end := serve(t, e, asks("/deadly"))
 	if got, want := end.GetCode(), string(fault.FatalRequest); got != want || end.GetOutcome() != peerpb.Outcome_OUTCOME_NOT_RUN {
 		t.Errorf("barred: got %v, want not run, %s", end, want)
--- a/egress/find.go
+++ b/egress/find.go
@@ -20,7 +20,7 @@
 		return nil, peer.NotRun(fault.Draining, drainRetryAfter)
 	}
 	// Whoever sent it may not have heard yet.
-	if e.endings.Ends(contentOf(d)) >= poison.BarAfter {
+	if e.endings.Ends(contentOf(d)) >= poison.BlockThreshold {
 		return nil, peer.NotRun(fault.FatalRequest, 0)
 	}
 	if e.configs.stale(e.state(), d) {
@@ -30,10 +30,10 @@
 		return nil, peer.NotRun(fault.OutOfRegion, shortRetryAfter)
 	}
 	if r, ok := e.announcedHere(d); ok {
-		if r.Leaving {
+		if r.Draining {
 			return nil, peer.NotRun(fault.Draining, drainRetryAfter)
 		}
-		return e.open(r.Entry, r.Leaving)
+		return e.open(r.Entry, r.Draining)
 	}
 	if !e.here(d) {
 		return nil, e.notHere(d)
@@ -54,7 +54,7 @@
 // Invariant: whatever its sender believes, the body of a request is asked for, and handed to an endpoint, only where its data may be.
 func (e *Egress) mayBeHere(d *peerpb.Dispatch) bool {
 	regions := e.regionsOf(d)
-	if !regions.Bound() {
+	if !regions.IsRestricted() {
 		return true
 	}
 	where := e.region.Load()
@@ -100,7 +100,7 @@
 func (e *Egress) notHere(d *peerpb.Dispatch) *peerpb.End {
 	end := peer.NotRun(fault.WrongHost, shortRetryAfter)
 	if e.announced != nil {
-		if r, ok := e.announced.Of(d.GetService()); ok {
+		if r, ok := e.announced.ActiveEndpoint(d.GetService()); ok {
 			end.Stands = r.Key
 		}
 	}
@@ -116,7 +116,7 @@
 	if l == nil {
 		l = newLocal(row, e.cfg, e.clock, e.pool, rand.New(rand.NewPCG(e.cfg.Incarnation, uint64(len(e.locals))))) //nolint:gosec // no secret
 		if at := e.hallDoubt.Load(); at != nil {
-			l.cold.Doubt(*at)
+			l.cold.MarkPossiblyCold(*at)
 		}
 		e.locals[row.Key] = l
 	}
--- a/egress/kept.go
+++ b/egress/kept.go
@@ -44,7 +44,7 @@
 	end    *peerpb.End
 	tooBig bool
 	// hold is what the body holds of the budget.
-	hold *memory.Hold
+	hold *memory.Reservation
 }
 
 // records holds the requests that were offered to this node, so that an ingress whose link breaks can ask for the
@@ -78,7 +78,7 @@
 		}
 		if r != nil {
 			k.bytes -= len(r.body)
-			r.hold.Free()
+			r.hold.Release()
 			delete(k.byID, id)
 		}
 		k.order = k.order[1:]
@@ -114,7 +114,7 @@
 	defer k.mu.Unlock()
 	r := k.byID[id]
 	if r == nil || r.end != nil {
-		s.hold.Free()
+		s.hold.Release()
 		return
 	}
 	own, _ := proto.Clone(end).(*peerpb.End)
@@ -165,7 +165,7 @@
 // recordingSink keeps what it passes on. A link that breaks does not break off the endpoint's work.
 type recordingSink struct {
 	peer.Sink
-	hold   *memory.Hold
+	hold   *memory.Reservation
 	head   *peerpb.Head
 	body   []byte
 	tooBig bool
@@ -189,7 +189,7 @@
 func (s *recordingSink) Data(b []byte, last bool) error {
 	if !s.tooBig && (len(s.body)+len(b) > keptAnswer || !s.hold.Grow(len(b))) {
 		s.tooBig, s.body = true, nil
-		s.hold.Free()
+		s.hold.Release()
 	}
 	if !s.tooBig {
 		s.body = append(s.body, b...)
--- a/egress/keys.go
+++ b/egress/keys.go
@@ -19,7 +19,7 @@
 // keys guards the node's dedupe.Home and knows since when it is the home of a key.
 type keys struct {
 	mu     sync.Mutex
-	home   *dedupe.Home
+	home   *dedupe.Store
 	window time.Duration
 	// slack is how long an ingress may act on an older list of endpoints.
 	slack time.Duration
@@ -42,13 +42,13 @@
 
 // within returns the endpoints in regions where a key's data may be.
 func (l keyList) within(regions region.Set) []string {
-	if !regions.Bound() {
+	if !regions.IsRestricted() {
 		return l.endpoints
 	}
 	return slices.DeleteFunc(slices.Clone(l.endpoints), func(name string) bool { return !regions.Allows(l.regions[name]) })
 }
 
-func newKeys(home *dedupe.Home, window, slack time.Duration) *keys {
+func newKeys(home *dedupe.Store, window, slack time.Duration) *keys {
 	return &keys{home: home, window: window, slack: slack, lists: make(map[string][]keyList)}
 }
 
@@ -68,7 +68,7 @@
 			from = time.Time{}
 		}
 		list := keyList{from: from, regions: make(map[string]string, len(v.Endpoints))}
-		list.endpoints = keyowner.Names(v, func(e table.Endpoint) bool { return snap.Listed(e.Host) })
+		list.endpoints = keyowner.Candidates(v, func(e table.Endpoint) bool { return snap.Listed(e.Host) })
 		for _, e := range v.Endpoints {
 			list.regions[e.Key] = snap.RegionOf(e.Value.Hall)
 		}
@@ -132,20 +132,20 @@
 	c := d.GetClaim()
 	id := dedupe.ID{Scope: c.GetScope(), Key: c.GetKey()}
 	fits := func(l keyList) bool {
-		place := slices.Index(keyowner.Homes(l.within(regions), id), d.GetEndpoint())
+		place := slices.Index(keyowner.Owners(l.within(regions), id), d.GetEndpoint())
 		// A caller that marks no attempts has the first home only, so it must have been the same one all along.
 		return place == 0 || place > 0 && c.GetAttempt() > 0
 	}
 	return k.home.Claim(now, dedupe.Claim{
 		ID: id, Attempt: c.GetAttempt(), Fingerprint: c.GetFingerprint(), Fence: c.GetFence(), Vouched: c.GetVouched(),
-		Covered:  sameRegions(c, regions) && k.homeSince(now.Add(-k.window-k.slack), d.GetService(), fits),
-		Deadline: now.Add(time.Duration(d.GetBudgetMicros()) * time.Microsecond),
+		CompleteHistory: sameRegions(c, regions) && k.homeSince(now.Add(-k.window-k.slack), d.GetService(), fits),
+		Deadline:        now.Add(time.Duration(d.GetBudgetMicros()) * time.Microsecond),
 	})
 }
 
 // sameRegions tells whether a claim goes by the regions that this node knows of: by others its key has other homes.
 func sameRegions(c *peerpb.Claim, regions region.Set) bool {
-	return c.GetBound() == regions.Bound() && slices.Equal(c.GetRegions(), regions.Names())
+	return c.GetBound() == regions.IsRestricted() && slices.Equal(c.GetRegions(), regions.Names())
 }
 
 func (k *keys) settle(now time.Time, scope, key string, outcome peerpb.Outcome, a dedupe.Answer) {
@@ -176,7 +176,7 @@
 		return end
 	case dedupe.Mismatch:
 		return peer.NotRun(fault.KeyMismatch, 0)
-	case dedupe.Full, dedupe.Young:
+	case dedupe.Full, dedupe.IncompleteHistory:
 		return peer.NotRun(fault.KeyRefused, drainRetryAfter)
 	case dedupe.Clean:
 		return &peerpb.End{Outcome: peerpb.Outcome_OUTCOME_CLAIMED}
@@ -187,7 +187,7 @@
 
 func replay(a dedupe.Answer, sink peer.Sink) *peerpb.End {
 	end := &peerpb.End{Outcome: peerpb.Outcome_OUTCOME_RAN}
-	if !a.Kept {
+	if !a.Stored {
 		end.Code = string(fault.KeyUnknown)
 		return end
 	}
@@ -220,7 +220,7 @@
 
 // Data implements peer.Sink.
 func (s *keepingSink) Data(b []byte, last bool) error {
-	if len(s.body) <= dedupe.KeptBody {
+	if len(s.body) <= dedupe.MaxStoredBody {
 		s.body = append(s.body, b...)
 	}
 	if !s.lost {
@@ -233,6 +233,6 @@
 func (s *keepingSink) passed(err error) { s.lost = s.lost || err != nil }
 
 func (s *keepingSink) answer(end *peerpb.End) dedupe.Answer {
-	kept := end.GetComplete() && len(s.body) <= dedupe.KeptBody
-	return dedupe.Answer{Head: s.head, Body: s.body, Kept: kept}
+	kept := end.GetComplete() && len(s.body) <= dedupe.MaxStoredBody
+	return dedupe.Answer{Head: s.head, Body: s.body, Stored: kept}
 }
--- a/egress/keys_test.go
+++ b/egress/keys_test.go
@@ -65,7 +65,7 @@
 
 func (m *model) restart(name string) {
 	h := m.homes[name]
-	h.keys = newKeys(dedupe.NewHome(m.window, 1<<20), m.window, m.slack)
+	h.keys = newKeys(dedupe.NewStore(m.window, 1<<20), m.window, m.slack)
 	h.keys.noteList(keyList{from: m.now, endpoints: m.lists[h.list]}, "desk")
 }
 
@@ -93,7 +93,7 @@
 	if m.first.IsZero() {
 		m.first = m.now
 	}
-	m.sends = append(m.sends, &modelSend{attempt: attempt, homes: keyowner.Homes(m.lists[list], m.id)})
+	m.sends = append(m.sends, &modelSend{attempt: attempt, homes: keyowner.Owners(m.lists[list], m.id)})
 }
 
 // step does the next step of a send, as ingress.runKeyed does it.
@@ -122,7 +122,7 @@
 	case 0:
 		v, ok := m.ask(s, s.homes[0], &peerpb.Claim{}, reachable)
 		m.ran(v, ok)
-		s.done = ok && v != dedupe.Young
+		s.done = ok && v != dedupe.IncompleteHistory
 		s.asked = 3
 		if ok {
 			s.asked = 1
--- a/egress/leaving.go
+++ b/egress/leaving.go
@@ -20,7 +20,7 @@
 
 // watchLeaving asks the endpoints that said they are leaving whether they still are.
 func (e *Egress) watchLeaving(ctx context.Context) {
-	tick := time.NewTicker(e.cfg.ProbeEvery)
+	tick := time.NewTicker(e.cfg.ProbeInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -49,7 +49,7 @@
 }
 
 func (e *Egress) back(ctx context.Context, l *local) bool {
-	ctx, cancel := context.WithTimeout(ctx, e.cfg.ProbeEvery)
+	ctx, cancel := context.WithTimeout(ctx, e.cfg.ProbeInterval)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+*l.address.Load()+e.cfg.ProbePath, nil)
 	if err != nil {
--- a/egress/local.go
+++ b/egress/local.go
@@ -41,7 +41,7 @@
 	mu      sync.Mutex
 	breaker *breaker.Breaker
 	// watch weighs the work under way, trial is the piece of it that is the breaker's trial, 0 for none.
-	watch breaker.Watch
+	watch breaker.InflightMonitor
 	trial uint64
 	// asking are the sinks of work under way whose senders want to hear when its answer is due.
 	asking map[uint64]peer.Sink
@@ -56,12 +56,12 @@
 	// stalls are the runs that wait for their callers, since when they do.
 	stalls []stall
 	// times are those of the endpoint's work that ended well.
-	times *latency.Kinds
+	times *latency.Models
 	// retries is the endpoint's part of the fleet's budget, share what a request's first arrival earns of it.
 	retries *retry.Budget
 	share   float64
 	// cold keeps the endpoint to what it bears while it is cold, or may be, by clock.
-	cold  *coldstart.Door
+	cold  *coldstart.Limiter
 	clock clock.Clock
 	// spoke is set once the endpoint has said how long it is cold; warmup is how long it is after a start if it does not say, coldTill
 	// until when that is.
@@ -85,8 +85,8 @@
 		queue:   admission.NewQueue(int(row.Value.Slots), 0, random),
 		waiters: make(map[uint64]chan admission.Decision),
 		asking:  make(map[uint64]peer.Sink),
-		times:   latency.NewKinds(), retries: retry.NewBudget(time.Now(), cfg.Retries.Window, cfg.KeySettle),
-		arrivals: arrivals{toldAt: time.Now()}, cold: coldstart.NewDoor(c(), cfg.Cold), clock: c,
+		times:   latency.NewModels(), retries: retry.NewBudget(time.Now(), cfg.Retries.Window, cfg.ConvergenceTime),
+		arrivals: arrivals{toldAt: time.Now()}, cold: coldstart.NewLimiter(c(), cfg.ColdLimit), clock: c,
 	}
 }
 
@@ -103,7 +103,7 @@
 	l.share = float64(service.Value.RetryBudget)
 	l.service, l.part = row.Value.Service, partOf(row.Key, service, cfg.Retries)
 	l.retries.SetSlack(time.Now(), l.part)
-	bound := cfg.Cold
+	bound := cfg.ColdLimit
 	bound.Rate = float64(service.Value.ColdRate)
 	now := l.clock()
 	l.cold.SetBound(now, bound)
@@ -114,14 +114,14 @@
 }
 
 // partOf returns an endpoint's part of its service's slack of retries.
-func partOf(key string, service table.ServiceView, slack retry.Share) float64 {
+func partOf(key string, service table.ServiceView, slack retry.FleetSlack) float64 {
 	n, rank := len(service.Endpoints), 0
 	if n > slack.Holders() {
 		rank, _ = slices.BinarySearchFunc(service.Endpoints, key, func(e table.Entry[table.Endpoint], key string) int {
 			return strings.Compare(e.Key, key)
 		})
 	}
-	return slack.Part(n, rank)
+	return slack.EndpointShare(n, rank)
 }
 
 // admit returns nil once the request holds a slot, else the refusal.
@@ -130,7 +130,7 @@
 	deadline, _ := ctx.Deadline()
 	r := admission.Request{
 		ID: id, Customer: payer(d), Weight: float64(customer.Value.Weight), Deadline: deadline,
-		Aim: time.Now().Add(aimLeft(d)), Priority: int(d.GetPriority()), NoWait: d.GetExchange() != 0 && !d.GetWait(), Work: l.expected(d),
+		TargetTime: time.Now().Add(aimLeft(d)), Priority: int(d.GetPriority()), NoWait: d.GetExchange() != 0 && !d.GetWait(), ServiceTime: l.expected(d),
 	}
 	wait, until, end := l.offer(r)
 	if wait == nil {
--- a/egress/look_test.go
+++ b/egress/look_test.go
@@ -17,11 +17,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		start := time.Unix(1000, 0)
-		l := &local{breaker: breaker.New(breaker.DefaultConfig()), times: latency.NewKinds()}
+		l := &local{breaker: breaker.New(breaker.DefaultConfig()), times: latency.NewModels()}
 		usual := time.Duration(rapid.IntRange(20, 600).Draw(t, "usual ms")) * time.Millisecond
 		for id := range uint64(rapid.IntRange(1, 10).Draw(t, "pieces")) {
 			begun := start.Add(-time.Duration(random.Int64N(int64(usual))))
-			l.watch.Begin(begun, id+1, breaker.Work{Kind: "r", Usual: usual})
+			l.watch.Begin(begun, id+1, breaker.RequestClass{Kind: "r", UsualTime: usual})
 		}
 		const most = 5 * time.Second
 		var says time.Duration
--- a/egress/nothere_test.go
+++ b/egress/nothere_test.go
@@ -17,12 +17,12 @@
 func TestRefusalNamesWhatStandsHere(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		beat registry.Beat
+		beat registry.Heartbeat
 		want string
 	}{
-		{"started anew", registry.Beat{Instance: "new", Service: "desk", Address: "127.0.0.1:1", Slots: 1, Sequence: 1}, "new"},
-		{"leaving", registry.Beat{Instance: "new", Service: "desk", Address: "127.0.0.1:1", Slots: 1, Sequence: 1, Draining: true}, ""},
-		{"of another service", registry.Beat{Instance: "new", Service: "hub", Address: "127.0.0.1:1", Slots: 1, Sequence: 1}, ""},
+		{"started anew", registry.Heartbeat{Instance: "new", Service: "desk", Address: "127.0.0.1:1", Slots: 1, Sequence: 1}, "new"},
+		{"leaving", registry.Heartbeat{Instance: "new", Service: "desk", Address: "127.0.0.1:1", Slots: 1, Sequence: 1, Draining: true}, ""},
+		{"of another service", registry.Heartbeat{Instance: "new", Service: "hub", Address: "127.0.0.1:1", Slots: 1, Sequence: 1}, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			log := zerolog.Nop()
--- a/egress/offer.go
+++ b/egress/offer.go
@@ -22,7 +22,7 @@
 		return end
 	}
 	e.hear(l)
-	watch := e.clock.Begin()
+	watch := e.clock.StartStopwatch()
 	trial, end := e.take(ctx, l, d, sink)
 	if end != nil {
 		end.Load = l.load(0, e.cfg.Incarnation)
@@ -137,7 +137,7 @@
 	if p.Permit(ctx, l.load(0, e.cfg.Incarnation), due) {
 		// The word may have taken a while, in which the configuration, or the endpoint, can have moved on.
 		_, moved := e.find(d)
-		inTime := e.clock.Since(admitted) <= coldstart.SendWithin
+		inTime := e.clock.Since(admitted) <= coldstart.MaxSendDelay
 		if moved == nil && inTime && e.records.hand(id) {
 			return trial, nil
 		}
--- a/egress/regions_test.go
+++ b/egress/regions_test.go
@@ -51,7 +51,7 @@
 			d.Route, d.Customer = "r1", "acme"
 			if keyed {
 				regions := s.RegionsFor(table.Route{Regions: table.Names(c.route)}, "acme")
-				d.Claim = &peerpb.Claim{Scope: "s", Key: "k", Attempt: 1, Vouched: true, Bound: regions.Bound(), Regions: regions.Names()}
+				d.Claim = &peerpb.Claim{Scope: "s", Key: "k", Attempt: 1, Vouched: true, Bound: regions.IsRestricted(), Regions: regions.Names()}
 			}
 			end := serve(t, e, d)
 			if got, want := end.GetCode(), string(c.want); got != want || end.GetOutcome() != peerpb.Outcome_OUTCOME_NOT_RUN {
@@ -66,14 +66,14 @@
 func TestHomesMoveWithTheirRegions(t *testing.T) {
 	const window = time.Minute
 	now := time.Unix(1e6, 0)
-	k := newKeys(dedupe.NewHome(window, 1<<20), window, 0)
+	k := newKeys(dedupe.NewStore(window, 1<<20), window, 0)
 	home := at(t, "127.0.0.1:1", table.Active).state()
 	observe := func(s *table.State) { k.observe(now, &configsync.Snapshot{State: s, Ready: true}, "h1") }
 	resend := func(name string, claimed, held []string) dedupe.Verdict {
-		set := region.Any.With(claimed)
+		set := region.Any.Intersect(claimed)
 		d := payment()
-		d.Claim = &peerpb.Claim{Scope: "s", Key: name, Attempt: 2, Bound: set.Bound(), Regions: set.Names()}
-		v, _ := k.claim(now, d, region.Any.With(held))
+		d.Claim = &peerpb.Claim{Scope: "s", Key: name, Attempt: 2, Bound: set.IsRestricted(), Regions: set.Names()}
+		v, _ := k.claim(now, d, region.Any.Intersect(held))
 		return v
 	}
 	observe(bind(t, home, "a", "a,b", ""))
--- a/egress/run.go
+++ b/egress/run.go
@@ -66,7 +66,7 @@
 type handling struct {
 	sink peer.Sink
 	// hold is what may be kept of the answer while its caller reads slower than the endpoint answers.
-	hold *memory.Hold
+	hold *memory.Reservation
 	// alive notes that a part of the answer has come.
 	alive func()
 	// holdUp notes that the endpoint waits for the caller; see local.holdUp.
--- a/egress/serve_test.go
+++ b/egress/serve_test.go
@@ -43,7 +43,7 @@
 		t.Fatal(err)
 	}
 	log := zerolog.Nop()
-	cfg := Config{Host: "h1", Hall: "hall-1", ProbeEvery: time.Second, KeyWindow: time.Minute, KeyBytes: 1 << 20}
+	cfg := Config{Host: "h1", Hall: "hall-1", ProbeInterval: time.Second, KeyWindow: time.Minute, KeyBytes: 1 << 20}
 	return New(cfg, &log, func() *table.State { return s })
 }
 
--- a/egress/silence.go
+++ b/egress/silence.go
@@ -100,8 +100,8 @@
 }
 
 // survival tells how much of a kind's ordinary work takes longer than an age; the lock is held.
-func (l *local) survival(w breaker.Work, age time.Duration) float64 {
-	return l.times.Of(w.Kind, w.Usual).Survival(age)
+func (l *local) survival(w breaker.RequestClass, age time.Duration) float64 {
+	return l.times.For(w.Kind, w.UsualTime).Survival(age)
 }
 
 // budgetPart is the part of its time that work usually takes where nobody knows better, as one in so many: callers allow
@@ -109,12 +109,12 @@
 const budgetPart = 10
 
 // workOf is what a request asks of the endpoint.
-func workOf(d *peerpb.Dispatch) breaker.Work {
+func workOf(d *peerpb.Dispatch) breaker.RequestClass {
 	usual := d.GetUsualMicros()
 	if usual == 0 {
 		usual = d.GetBudgetMicros() / budgetPart
 	}
-	return breaker.Work{Kind: d.GetRoute(), Usual: time.Duration(usual) * time.Microsecond}
+	return breaker.RequestClass{Kind: d.GetRoute(), UsualTime: time.Duration(usual) * time.Microsecond}
 }
 
 // noteClosed has the watch begin anew once the breaker has closed; the lock is held.
@@ -131,14 +131,14 @@
 	defer l.mu.Unlock()
 	if l.trialOverdue(now) {
 		l.trial = 0
-		l.breaker.Done(now, breaker.Overdue, true)
+		l.breaker.Report(now, breaker.Overdue, true)
 	}
-	if l.watch.Score(now, l.survival) < suspectScore || !l.breaker.Suspect(now) {
+	if l.watch.Score(now, l.survival) < suspectScore || !l.breaker.ForceOpen(now) {
 		return nil
 	}
 	l.suspected = true
 	var waiting []peer.Sink
-	for _, id := range l.watch.Running() {
+	for _, id := range l.watch.InFlight() {
 		if sink := l.asking[id]; sink != nil {
 			waiting = append(waiting, sink)
 		}
@@ -162,19 +162,19 @@
 	l.watch.End(now, id, !silent && !r.silent && !r.broken)
 	how, known := resultOf(r, silent, trial)
 	if !known {
-		l.breaker.Release(trial)
+		l.breaker.CancelTrial(trial)
 		return
 	}
 	if how == breaker.OK {
-		l.times.Note(d.GetRoute(), service)
+		l.times.Observe(d.GetRoute(), service)
 	}
 	if d.GetLastResort() && !trial {
-		l.breaker.LastResort(how)
+		l.breaker.ReportLastResort(how)
 	}
 	was := l.breaker.State()
-	l.breaker.Done(now, how, trial)
+	l.breaker.Report(now, how, trial)
 	if l.suspected && l.watch.Score(now, l.survival) < clearScore {
-		l.breaker.Clear(now)
+		l.breaker.ForceClose(now)
 	}
 	l.noteClosed(was)
 }
--- a/egress/silence_test.go
+++ b/egress/silence_test.go
@@ -71,7 +71,7 @@
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	t.Cleanup(server.Close)
 	e := at(t, strings.TrimPrefix(server.URL, "http://"), table.Active)
-	e.cfg.Retries = retry.Share{Slack: 4, Window: time.Nanosecond, Most: 4}
+	e.cfg.Retries = retry.FleetSlack{Slack: 4, Window: time.Nanosecond, MaxShare: 4}
 	again := lookup()
 	again.Repeat = true
 	if got, want := serve(t, e, again).GetOutcome(), peerpb.Outcome_OUTCOME_RAN; got != want {
--- a/egress/spool.go
+++ b/egress/spool.go
@@ -25,7 +25,7 @@
 // spool takes an endpoint's answer as fast as it comes and passes it on as fast as its caller reads: a slow caller holds neither the
 // endpoint's slot nor its answer in the endpoint's memory. One goroutine puts, another drains.
 type spool struct {
-	hold *memory.Hold
+	hold *memory.Reservation
 	// holdUp is called when the endpoint has to wait for the caller, held is for how long it had to.
 	holdUp func() (wanted <-chan struct{}, over func())
 	held   time.Duration
@@ -46,7 +46,7 @@
 	held  bool
 }
 
-func newSpool(hold *memory.Hold, holdUp func() (wanted <-chan struct{}, over func())) *spool {
+func newSpool(hold *memory.Reservation, holdUp func() (wanted <-chan struct{}, over func())) *spool {
 	return &spool{hold: hold, holdUp: holdUp, more: make(chan struct{}, 1), moved: make(chan struct{}, 1)}
 }
 
@@ -72,7 +72,7 @@
 	look := time.NewTicker(stallLook)
 	defer look.Stop()
 	for moved, pressed := start, false; ; {
-		freed := s.hold.Freed()
+		freed := s.hold.Released()
 		if taken, err := s.tryPut(b); taken || err != nil {
 			return err
 		}
--- a/egress/spool_test.go
+++ b/egress/spool_test.go
@@ -49,11 +49,11 @@
 		var wrong string
 		synctest.Test(t, func(t *testing.T) {
 			b := memory.New(int64(size))
-			hold := b.Hold("others")
+			hold := b.NewReservation("others")
 			hold.Grow(others)
 			wrong = passOn(t.Context(), b, r, pieces)
-			hold.Free()
-			if used := b.Use().Used; wrong == "" && used != 0 {
+			hold.Release()
+			if used := b.Usage().Used; wrong == "" && used != 0 {
 				wrong = fmt.Sprintf("held at the end: got %d bytes, want 0", used)
 			}
 		})
@@ -65,7 +65,7 @@
 
 // passOn passes an answer of some pieces to a reader, and returns what was wrong with it.
 func passOn(ctx context.Context, b *memory.Budget, r *reader, pieces []int) string {
-	s := newSpool(b.Hold("c"), unwanted)
+	s := newSpool(b.NewReservation("c"), unwanted)
 	var answer []byte
 	done := make(chan error, 1)
 	go func() {
@@ -114,7 +114,7 @@
 				wanted := make(chan struct{}, 1)
 				timer := time.AfterFunc(c.wanted, func() { wanted <- struct{}{} })
 				defer timer.Stop()
-				s := newSpool(memory.New(1).Hold("c"), func() (<-chan struct{}, func()) { return wanted, func() {} })
+				s := newSpool(memory.New(1).NewReservation("c"), func() (<-chan struct{}, func()) { return wanted, func() {} })
 				start := time.Now()
 				if err := s.put(t.Context(), make([]byte, 10)); err != nil {
 					t.Fatalf("first piece: got %v, want it taken", err)
@@ -134,7 +134,7 @@
 // TestSpoolEndsWithItsCaller checks that a put that waits ends when the caller goes away.
 func TestSpoolEndsWithItsCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSpool(memory.New(1).Hold("c"), unwanted)
+		s := newSpool(memory.New(1).NewReservation("c"), unwanted)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Millisecond)
 		defer cancel()
 		for i, want := range []fault.Code{"", fault.Canceled} {
--- a/egress/stall.go
+++ b/egress/stall.go
@@ -19,14 +19,14 @@
 func (l *local) alive(id uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.watch.Alive(time.Now(), id)
+	l.watch.Progress(time.Now(), id)
 }
 
 // holdUp notes that the endpoint waits for the caller of some work, until over: that time says nothing of it.
 func (l *local) holdUp(id uint64) (wanted <-chan struct{}, over func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.watch.Hold(time.Now(), id)
+	l.watch.Pause(time.Now(), id)
 	s := stall{id: id, wanted: make(chan struct{}, 1)}
 	l.stalls = append(l.stalls, s)
 	if l.queue.Waiting() > 0 || len(l.stalls) > max(1, l.slots/stallPart) {
--- a/egress/status.go
+++ b/egress/status.go
@@ -13,7 +13,7 @@
 	// Failed counts those of them that failed.
 	Failed uint64 `json:"failed"`
 	// Leaving is set after the endpoint said so itself.
-	Leaving bool `json:"leaving"`
+	Draining bool `json:"leaving"`
 	// Trial is set while it takes only trials.
 	Trial bool `json:"trial"`
 	// Arrivals is what was handed to it since the node started.
@@ -29,7 +29,7 @@
 		load := l.load(0, 0)
 		out = append(out, Status{
 			Endpoint: l.key, Busy: int(load.GetBusy()), Waiting: int(load.GetQueued()),
-			Finished: load.GetFinished(), Failed: load.GetFailed(), Leaving: load.GetLeaving(), Trial: load.GetTrial(),
+			Finished: load.GetFinished(), Failed: load.GetFailed(), Draining: load.GetLeaving(), Trial: load.GetTrial(),
 			Arrivals: l.handed(),
 		})
 	}
@@ -37,4 +37,4 @@
 }
 
 // Keys returns the number of idempotency keys at home here.
-func (e *Egress) Keys() int { return e.keys.len() }
+func (e *Egress) KeyCount() int { return e.keys.len() }
--- a/egress/suspended_test.go
+++ b/egress/suspended_test.go
@@ -16,7 +16,7 @@
 	c := clock.Clock(func() time.Time { return time.Now().Add(lost) })
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	watch := c.Begin()
+	watch := c.StartStopwatch()
 	same, done := withoutSuspended(ctx, watch)
 	defer done()
 	if same != ctx {
--- a/egress/suspicion.go
+++ b/egress/suspicion.go
@@ -11,13 +11,13 @@
 func (l *local) takes(now time.Time, d *peerpb.Dispatch) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.breaker.Would(now, d.GetCanary()) || l.lastResort(d)
+	return l.breaker.WouldAllow(now, d.GetCanary()) || l.lastResort(d)
 }
 
 // lastResort tells whether the endpoint takes a request that has no other one, although it is under suspicion; the lock
 // is held.
 func (l *local) lastResort(d *peerpb.Dispatch) bool {
-	return d.GetLastResort() && (!d.GetLikelyOnly() || l.breaker.Likely())
+	return d.GetLastResort() && (!d.GetLikelyOnly() || l.breaker.LikelyToSucceed())
 }
 
 // allow is the same as takes at the moment of the hand-over; a trial must end with untry or release.
@@ -32,14 +32,14 @@
 func (l *local) untry(trial bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.breaker.Release(trial)
+	l.breaker.CancelTrial(trial)
 }
 
 // pauseLeft is when a request that was not taken may come back.
 func (l *local) pauseLeft(now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return max(l.breaker.Pause(now), shortRetryAfter)
+	return max(l.breaker.RemainingOutage(now), shortRetryAfter)
 }
 
 // breakerState returns what the endpoint takes just now.
--- a/egress/work.go
+++ b/egress/work.go
@@ -19,7 +19,7 @@
 		ctx, cancel = detach(ctx)
 		defer cancel()
 	}
-	recording := &recordingSink{Sink: sink, hold: e.budget.Hold(d.GetCustomer())}
+	recording := &recordingSink{Sink: sink, hold: e.budget.NewReservation(d.GetCustomer())}
 	_, kept := sink.(peer.Permitter)
 	if kept {
 		sink = recording
@@ -27,8 +27,8 @@
 	w := &work{e: e, l: l, d: d, trial: trial, start: time.Now(), id: e.nextID.Add(1)}
 	e.begin(l, w.start, w.id, d, sink, trial)
 	e.working.Begin(d.GetRequestId(), d.GetRepeat())
-	hold := e.budget.Hold(d.GetCustomer())
-	defer hold.Free()
+	hold := e.budget.NewReservation(d.GetCustomer())
+	defer hold.Release()
 	result := l.run(ctx, d, body, handling{sink: sink, hold: hold, alive: w.alive, holdUp: w.holdUp, ended: w.ended})
 	result.end.Load = l.load(w.service, e.cfg.Incarnation)
 	if kept {
--- a/eject/capacity_test.go
+++ b/eject/capacity_test.go
@@ -18,7 +18,7 @@
 			for b.Loop() {
 				i++
 				now = now.Add(time.Millisecond)
-				s.Observe(now, list[i%n].Key, Event{Latency: time.Duration(1+i%7) * time.Millisecond})
+				s.Observe(now, list[i%n].Key, Observation{Latency: time.Duration(1+i%7) * time.Millisecond})
 			}
 			b.ReportMetric(float64(unsafe.Sizeof(endpoint{})), "bytes/endpoint")
 		})
@@ -36,14 +36,14 @@
 			for b.Loop() {
 				i++
 				now = now.Add(time.Millisecond)
-				s.Report(now, list[i%n].Key, 64, 1)
+				s.ObserveCounts(now, list[i%n].Key, 64, 1)
 			}
 		})
 	}
 }
 
-func capacityService(n int) (*Service, []Endpoint) {
-	s := NewService(DefaultConfig())
+func capacityService(n int) (*Detector, []Endpoint) {
+	s := NewDetector(DefaultConfig())
 	var list []Endpoint
 	for i := range n {
 		list = append(list, Endpoint{Key: fmt.Sprint(i), Capacity: 4, Usable: true})
--- a/eject/compare.go
+++ b/eject/compare.go
@@ -32,7 +32,7 @@
 // healthyFailures is the failure share of the service's other endpoints in use, the comparison that tells a bad
 // endpoint from a bad service. The worst third of them is left out, so that one bad endpoint does not hide another;
 // when most of them have failed just now, the cause is common and the share rises at once.
-func (s *Service) healthyFailures(e *endpoint) float64 {
+func (s *Detector) healthyFailures(e *endpoint) float64 {
 	others := make([]*endpoint, 0, len(s.endpoints))
 	for _, o := range s.endpoints {
 		if o != e && !out(o.phase) {
@@ -57,7 +57,7 @@
 }
 
 // commonSlowdown is by how much most of the other endpoints are slower just now than the marks know, at least 1.
-func (s *Service) commonSlowdown(e *endpoint) float64 {
+func (s *Detector) commonSlowdown(e *endpoint) float64 {
 	others := make([]float64, 0, len(s.endpoints))
 	for _, o := range s.endpoints {
 		if o != e && !out(o.phase) && o.timeNow > 0 {
@@ -69,11 +69,11 @@
 	}
 	slices.Sort(others)
 	now := others[(len(others)-1)/2]
-	return max(1, math.Exp(now-math.Log(float64(s.marks.Middle))))
+	return max(1, math.Exp(now-math.Log(float64(s.marks.Median))))
 }
 
 // refreshMarks takes the median over the endpoints of each one's own quantiles, which up to half of them cannot move.
-func (s *Service) refreshMarks() {
+func (s *Detector) refreshMarks() {
 	s.sinceMark++
 	if s.marks.Known && s.sinceMark < marksEvery {
 		return
@@ -100,10 +100,10 @@
 		math.Log(float64(median(late))/typical)/lateNormal,
 		leastSpread,
 	)
-	s.marks = Marks{
+	s.marks = Baselines{
 		Slow:   max(median(slow), time.Duration(slowAtLeast*typical)),
 		Late:   max(median(late), time.Duration(lateAtLeast*typical)),
-		Middle: median(middle), Spread: spread, Known: true,
+		Median: median(middle), Spread: spread, Known: true,
 	}
 }
 
--- a/eject/config.go
+++ b/eject/config.go
@@ -9,13 +9,13 @@
 	// Floor is the share of the capacity that ejections always leave in use, 0 to 1.
 	Floor float64
 	// FirstEjection is how long the first ejection of an endpoint lasts; each further one doubles.
-	FirstEjection time.Duration
+	BaseEjectionTime time.Duration
 	// LongestEjection bounds the doubling.
-	LongestEjection time.Duration
+	MaxEjectionTime time.Duration
 	// Forgive is how long an endpoint must serve well before its count of ejections is halved.
-	Forgive time.Duration
+	ForgiveInterval time.Duration
 	// ProbeSuccesses is how many good answers in a row end the trickle.
-	ProbeSuccesses int
+	TrickleSuccesses int
 	// RampStep is how long each step of the growing share lasts.
 	RampStep time.Duration
 }
@@ -23,13 +23,13 @@
 // DefaultConfig returns the policy of a service whose row says nothing.
 func DefaultConfig() Config {
 	return Config{
-		FalseEjections:  0.05,
-		Floor:           0.6,
-		FirstEjection:   5 * time.Second,
-		LongestEjection: 5 * time.Minute,
-		Forgive:         2 * time.Minute,
-		ProbeSuccesses:  8,
-		RampStep:        2 * time.Second,
+		FalseEjections:   0.05,
+		Floor:            0.6,
+		BaseEjectionTime: 5 * time.Second,
+		MaxEjectionTime:  5 * time.Minute,
+		ForgiveInterval:  2 * time.Minute,
+		TrickleSuccesses: 8,
+		RampStep:         2 * time.Second,
 	}
 }
 
@@ -64,13 +64,13 @@
 )
 
 // Event is one piece of evidence of real work at an endpoint.
-type Event struct {
+type Observation struct {
 	// Kind says how the work went.
 	Kind Kind
 	// Latency is the service time, without time in queues.
 	Latency time.Duration
 	// Counted is set when the same work was Overdue before.
-	Counted bool
+	WasOverdue bool
 }
 
 // Phase is an endpoint's place in the cycle of ejection and return.
@@ -122,23 +122,23 @@
 }
 
 // Marks are the service times that count as slow, from the service's other endpoints.
-type Marks struct {
+type Baselines struct {
 	// Slow is exceeded by about one healthy answer in twenty.
 	Slow time.Duration
 	// Late is exceeded by about one healthy answer in two hundred.
 	Late time.Duration
 	// Middle is the median service time, and Spread the width of the times around it in natural logarithms, at least
 	// as wide as any part of the upper half shows.
-	Middle time.Duration
+	Median time.Duration
 	Spread float64
 	// Known is false until enough work was seen.
 	Known bool
 }
 
 // times returns the marks of a service that is slower by a factor as a whole.
-func (m Marks) times(factor float64) Marks {
+func (m Baselines) times(factor float64) Baselines {
 	m.Slow = time.Duration(float64(m.Slow) * factor)
 	m.Late = time.Duration(float64(m.Late) * factor)
-	m.Middle = time.Duration(float64(m.Middle) * factor)
+	m.Median = time.Duration(float64(m.Median) * factor)
 	return m
 }
--- a/eject/floor.go
+++ b/eject/floor.go
@@ -11,7 +11,7 @@
 //
 // Invariant: after every call the capacity of the usable endpoints that are neither ejected nor on trial is at least
 // the floor's share of the whole service's capacity, or no endpoint is ejected or on trial.
-func (s *Service) enforceFloor(now time.Time) {
+func (s *Detector) enforceFloor(now time.Time) {
 	total, inUse := s.capacities()
 	floor := s.cfg.Floor * total
 	for _, e := range s.sorted(func(e *endpoint) bool { return e.phase == LastChoice && e.Usable }) {
@@ -37,7 +37,7 @@
 
 // capacities returns the capacity of all the endpoints and of those that take work. A draining endpoint counts in
 // the first only, so that drains and ejections together never go below the floor by an ejection.
-func (s *Service) capacities() (total, inUse float64) {
+func (s *Detector) capacities() (total, inUse float64) {
 	for _, e := range s.endpoints {
 		total += e.Capacity
 		if e.Usable && !out(e.phase) {
@@ -48,7 +48,7 @@
 }
 
 // sorted returns the chosen endpoints, highest score first.
-func (s *Service) sorted(choose func(*endpoint) bool) []*endpoint {
+func (s *Detector) sorted(choose func(*endpoint) bool) []*endpoint {
 	var list []*endpoint
 	for _, e := range s.endpoints {
 		if choose(e) {
--- a/eject/floor_test.go
+++ b/eject/floor_test.go
@@ -19,9 +19,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		list := drawEndpoints(t)
 		floor := rapid.Float64Range(0, 1).Draw(t, "floor")
-		var choosers []*Service
+		var choosers []*Detector
 		for range rapid.IntRange(2, 5).Draw(t, "choosers") {
-			s := NewService(DefaultConfig().With(1, floor))
+			s := NewDetector(DefaultConfig().With(1, floor))
 			s.SetEndpoints(time.Unix(0, 0), list)
 			feed(s, rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0)), list)
 			choosers = append(choosers, s)
@@ -49,7 +49,7 @@
 	broken := false
 	for seed := range uint64(20) {
 		list := []Endpoint{{"a", 1, true}, {"b", 1, true}, {"c", 1, true}}
-		s := NewService(DefaultConfig().With(1, 0))
+		s := NewDetector(DefaultConfig().With(1, 0))
 		s.SetEndpoints(time.Unix(0, 0), list)
 		feed(s, rand.New(rand.NewPCG(seed, 0)), list)
 		broken = broken || inUseOf(s, list) < 0.9*3
@@ -68,7 +68,7 @@
 	return list
 }
 
-func feed(s *Service, r *rand.Rand, list []Endpoint) {
+func feed(s *Detector, r *rand.Rand, list []Endpoint) {
 	now := time.Unix(0, 0)
 	bad := map[string]bool{}
 	for i := range 600 {
@@ -78,7 +78,7 @@
 			}
 		}
 		e := list[r.IntN(len(list))]
-		ev := Event{Kind: Success, Latency: time.Duration(1+r.IntN(10)) * time.Millisecond}
+		ev := Observation{Kind: Success, Latency: time.Duration(1+r.IntN(10)) * time.Millisecond}
 		if bad[e.Key] {
 			ev.Kind = Failure
 		}
@@ -88,7 +88,7 @@
 	}
 }
 
-func inUseOf(s *Service, list []Endpoint) float64 {
+func inUseOf(s *Detector, list []Endpoint) float64 {
 	sum := 0.0
 	for _, e := range list {
 		if e.Usable && !out(s.Verdict(e.Key).Phase) {
@@ -101,7 +101,7 @@
 func driveFloor(t *rapid.T) {
 	list := drawEndpoints(t)
 	floor := rapid.Float64Range(0, 1).Draw(t, "floor")
-	s := NewService(DefaultConfig().With(1, floor))
+	s := NewDetector(DefaultConfig().With(1, floor))
 	now := time.Unix(0, 0)
 	s.SetEndpoints(now, list)
 	r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
@@ -111,7 +111,7 @@
 			kind := rapid.SampledFrom([]Kind{Success, Failure, Overdue}).Draw(t, "kind")
 			for range rapid.IntRange(1, 40).Draw(t, "n") {
 				now = now.Add(time.Duration(r.IntN(50)) * time.Millisecond)
-				s.Observe(now, e.Key, Event{Kind: kind, Latency: time.Duration(1+r.IntN(50)) * time.Millisecond})
+				s.Observe(now, e.Key, Observation{Kind: kind, Latency: time.Duration(1+r.IntN(50)) * time.Millisecond})
 			}
 		},
 		"drain": func(t *rapid.T) {
--- a/eject/report_test.go
+++ b/eject/report_test.go
@@ -11,7 +11,7 @@
 // an endpoint's own work is no part of what it is compared with.
 func TestReportIsItsPieces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		whole, pieces := NewService(DefaultConfig()), NewService(DefaultConfig())
+		whole, pieces := NewDetector(DefaultConfig()), NewDetector(DefaultConfig())
 		list := drawEndpoints(t)
 		now := time.Unix(0, 0)
 		whole.SetEndpoints(now, list)
@@ -25,7 +25,7 @@
 				continue
 			}
 			now = now.Add(time.Second)
-			whole.Report(now, e.Key, finished, failed)
+			whole.ObserveCounts(now, e.Key, finished, failed)
 			o := pieces.byKey[e.Key]
 			for i := range finished {
 				o.countRate(now)
--- a/eject/script_test.go
+++ b/eject/script_test.go
@@ -30,7 +30,7 @@
 
 type script struct {
 	now      time.Time
-	detector *Service
+	detector *Detector
 	list     []Endpoint
 	count    int
 }
@@ -74,7 +74,7 @@
 
 func (s *script) service(t *testing.T, d *datadriven.TestData) {
 	cfg := DefaultConfig().With(arg(t, d, "false", 0.05), arg(t, d, "floor", 0.5))
-	*s = script{now: time.Unix(0, 0), detector: NewService(cfg)}
+	*s = script{now: time.Unix(0, 0), detector: NewDetector(cfg)}
 	for _, name := range strings.Split(arg(t, d, "endpoints", ""), "/") {
 		s.list = append(s.list, Endpoint{Key: name, Capacity: 4, Usable: true})
 	}
@@ -88,7 +88,7 @@
 	for range arg(t, d, "n", 1) {
 		s.count++
 		for _, name := range names {
-			ev := Event{Kind: Success, Latency: time.Duration(slow * float64(work))}
+			ev := Observation{Kind: Success, Latency: time.Duration(slow * float64(work))}
 			if s.count*fail/100 != (s.count-1)*fail/100 {
 				ev.Kind = Failure
 			}
--- a/eject/service.go
+++ b/eject/service.go
@@ -43,27 +43,27 @@
 }
 
 // Service is the detector of one service; one goroutine owns it.
-type Service struct {
+type Detector struct {
 	cfg       Config
 	endpoints []*endpoint
 	byKey     map[string]*endpoint
-	marks     Marks
+	marks     Baselines
 	sinceMark int
 }
 
 // NewService returns a detector without endpoints.
-func NewService(cfg Config) *Service {
-	return &Service{cfg: cfg, byKey: make(map[string]*endpoint)}
+func NewDetector(cfg Config) *Detector {
+	return &Detector{cfg: cfg, byKey: make(map[string]*endpoint)}
 }
 
 // SetConfig replaces the policy and keeps the evidence.
-func (s *Service) SetConfig(now time.Time, cfg Config) {
+func (s *Detector) SetConfig(now time.Time, cfg Config) {
 	s.cfg = cfg
 	s.enforceFloor(now)
 }
 
 // SetEndpoints replaces the list of endpoints and keeps the evidence of those that stay.
-func (s *Service) SetEndpoints(now time.Time, list []Endpoint) {
+func (s *Detector) SetEndpoints(now time.Time, list []Endpoint) {
 	byKey := make(map[string]*endpoint, len(list))
 	s.endpoints = s.endpoints[:0]
 	for _, spec := range list {
@@ -81,10 +81,10 @@
 }
 
 // Marks returns the service times that count as slow now.
-func (s *Service) Marks() Marks { return s.marks }
+func (s *Detector) Baselines() Baselines { return s.marks }
 
 // Observe takes one piece of evidence; events of unknown endpoints are ignored.
-func (s *Service) Observe(now time.Time, key string, ev Event) {
+func (s *Detector) Observe(now time.Time, key string, ev Observation) {
 	e := s.byKey[key]
 	if e == nil {
 		return
@@ -102,7 +102,7 @@
 }
 
 // Report takes evidence that a node beside the endpoint gathered from other callers' work.
-func (s *Service) Report(now time.Time, key string, finished, failed uint64) {
+func (s *Detector) ObserveCounts(now time.Time, key string, finished, failed uint64) {
 	e := s.byKey[key]
 	if e == nil || e.phase == Ejected || e.phase == Trickle {
 		return
@@ -120,7 +120,7 @@
 }
 
 // weigh feeds the tests and returns whether the event speaks against the endpoint.
-func (s *Service) weigh(now time.Time, e *endpoint, ev Event) bool {
+func (s *Detector) weigh(now time.Time, e *endpoint, ev Observation) bool {
 	if ev.Kind != Overdue {
 		failed := ev.Kind == Failure
 		e.tests.failure(failed, s.healthyFailures(e))
@@ -130,7 +130,7 @@
 	if ev.Kind == Failure {
 		return true
 	}
-	if s.marks.Known && !ev.Counted {
+	if s.marks.Known && !ev.WasOverdue {
 		m := s.marks.times(s.commonSlowdown(e))
 		e.tests.slowness(now, ev.Latency, m)
 		e.tests.shift(ev.Latency, m)
@@ -154,7 +154,7 @@
 	e.rateCount = 0
 }
 
-func (s *Service) threshold(e *endpoint) float64 {
+func (s *Detector) threshold(e *endpoint) float64 {
 	h := threshold(e.rate, s.cfg.FalseEjections)
 	if e.phase == Ramp {
 		h /= 2
@@ -162,7 +162,7 @@
 	return h
 }
 
-func (s *Service) judge(now time.Time, e *endpoint) {
+func (s *Detector) judge(now time.Time, e *endpoint) {
 	score, _ := e.tests.worst()
 	if score < s.threshold(e) {
 		if e.phase == LastChoice && score < s.threshold(e)/2 {
@@ -192,13 +192,13 @@
 	e.since = now
 }
 
-func (s *Service) judgeTrickle(now time.Time, e *endpoint, bad bool) {
+func (s *Detector) judgeTrickle(now time.Time, e *endpoint, bad bool) {
 	if bad {
 		s.eject(now, e)
 		return
 	}
 	e.good++
-	if e.good < s.cfg.ProbeSuccesses {
+	if e.good < s.cfg.TrickleSuccesses {
 		return
 	}
 	e.phase = Ramp
@@ -207,7 +207,7 @@
 	e.tests.reset()
 }
 
-func (s *Service) eject(now time.Time, e *endpoint) {
+func (s *Detector) eject(now time.Time, e *endpoint) {
 	e.phase = Ejected
 	e.share = 0
 	e.since = now
@@ -216,19 +216,19 @@
 	e.good = 0
 }
 
-func (s *Service) ejectionTime(before int) time.Duration {
-	d := s.cfg.FirstEjection
+func (s *Detector) ejectionTime(before int) time.Duration {
+	d := s.cfg.BaseEjectionTime
 	for range before {
 		d *= 2
-		if d >= s.cfg.LongestEjection {
-			return s.cfg.LongestEjection
+		if d >= s.cfg.MaxEjectionTime {
+			return s.cfg.MaxEjectionTime
 		}
 	}
 	return d
 }
 
 // Tick moves endpoints on with time; call it several times a second.
-func (s *Service) Tick(now time.Time) {
+func (s *Detector) Tick(now time.Time) {
 	for _, e := range s.endpoints {
 		switch e.phase {
 		case Ejected:
@@ -241,7 +241,7 @@
 		case Ramp:
 			e.ramp(now, s.cfg.RampStep)
 		case Serving:
-			if e.ejections > 0 && now.Sub(e.since) >= s.cfg.Forgive {
+			if e.ejections > 0 && now.Sub(e.since) >= s.cfg.ForgiveInterval {
 				e.ejections /= 2
 				e.since = now
 			}
@@ -266,7 +266,7 @@
 const suspicion = 1
 
 // Verdict returns what to do with an endpoint; an unknown one serves.
-func (s *Service) Verdict(key string) Verdict {
+func (s *Detector) Verdict(key string) Verdict {
 	e := s.byKey[key]
 	if e == nil {
 		return Verdict{Share: 1}
--- a/eject/tests.go
+++ b/eject/tests.go
@@ -69,7 +69,7 @@
 
 // slowness feeds the two tests of service time. Slow answers whose times overlap share a cause, such as one pause of
 // the endpoint, so all but the first weigh less.
-func (t *tests) slowness(now time.Time, latency time.Duration, m Marks) {
+func (t *tests) slowness(now time.Time, latency time.Duration, m Baselines) {
 	slow, late := latency > m.Slow, latency > m.Late
 	weight := 1.0
 	if slow {
@@ -84,8 +84,8 @@
 
 // shift feeds the test of a service time against the whole of the others' times: whether it is likelier under times
 // longer by a factor than under theirs.
-func (t *tests) shift(latency time.Duration, m Marks) {
-	z := math.Log(float64(latency)/float64(m.Middle)) / m.Spread
+func (t *tests) shift(latency time.Duration, m Baselines) {
+	z := math.Log(float64(latency)/float64(m.Median)) / m.Spread
 	z = min(max(z, -shiftLimit), shiftLimit)
 	t.add(shiftTest, shiftSize*z-shiftSize*shiftSize/2)
 }
--- a/inflight/requests.go
+++ b/inflight/requests.go
@@ -3,13 +3,13 @@
 import "sync"
 
 // Work is what endpoints beside a node have under way, as far as it matters to a call that they may have made.
-type Work struct {
+type Snapshot struct {
 	// All counts the work under way.
-	All int
+	Total int
 	// Known is set when some of it is for the request that was asked for; the rest tells of that work alone then.
-	Known bool
+	ForRequest bool
 	// OfRepeat is the share of the work that are further sends.
-	OfRepeat float64
+	RetryShare float64
 }
 
 // sends counts first and further sends under way.
@@ -59,11 +59,11 @@
 }
 
 // Of tells of the work under way, and of that for a request.
-func (w *Requests) Of(request string) Work {
+func (w *Requests) Snapshot(request string) Snapshot {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if own, ok := w.byRequest[request]; ok && request != "" {
-		return Work{All: w.total.all(), Known: true, OfRepeat: own.ofRepeat()}
+		return Snapshot{Total: w.total.all(), ForRequest: true, RetryShare: own.ofRepeat()}
 	}
-	return Work{All: w.total.all(), OfRepeat: w.total.ofRepeat()}
+	return Snapshot{Total: w.total.all(), RetryShare: w.total.ofRepeat()}
 }
--- a/ingress/answer.go
+++ b/ingress/answer.go
@@ -39,7 +39,7 @@
 	head *peerpb.Head
 	kept []byte
 	// hold is what the held bytes hold of the node's budget.
-	hold *memory.Hold
+	hold *memory.Reservation
 	// size is how many bytes of the body have come.
 	size int
 	late lateWatch
@@ -126,7 +126,7 @@
 // Data implements peer.Sink.
 func (a *answer) Data(b []byte, _ bool) error {
 	a.size += len(b)
-	if a.keep && len(a.kept) <= dedupe.KeptBody {
+	if a.keep && len(a.kept) <= dedupe.MaxStoredBody {
 		a.kept = append(a.kept, b...)
 	}
 	if a.held != nil && len(a.body)+len(b) <= heldBody && a.hold.Grow(len(b)) {
@@ -182,7 +182,7 @@
 
 // record returns the answer for the key's home.
 func (a *answer) record(end *peerpb.End) (*peerpb.Head, []byte) {
-	if !end.GetComplete() || len(a.kept) > dedupe.KeptBody {
+	if !end.GetComplete() || len(a.kept) > dedupe.MaxStoredBody {
 		return nil, nil
 	}
 	return a.head, a.kept
--- a/ingress/arrivals_test.go
+++ b/ingress/arrivals_test.go
@@ -67,8 +67,8 @@
 func egressWith(s *table.State, c contract.Contract) *egress.Egress {
 	log := zerolog.Nop()
 	return egress.New(egress.Config{
-		Host: "h1", Contract: c, ProbeEvery: time.Second, KeyWindow: time.Minute, KeyBytes: 1 << 20,
-		Retries: retry.Share{Slack: 30, Window: time.Nanosecond, Most: 10},
+		Host: "h1", Contract: c, ProbeInterval: time.Second, KeyWindow: time.Minute, KeyBytes: 1 << 20,
+		Retries: retry.FleetSlack{Slack: 30, Window: time.Nanosecond, MaxShare: 10},
 	}, &log, func() *table.State { return s })
 }
 
@@ -127,7 +127,7 @@
 // further is how many further sends were handed to the endpoints.
 func further(e *egress.Egress) (n uint64) {
 	for _, s := range e.Statuses() {
-		n += s.Arrivals.Further
+		n += s.Arrivals.Retries
 	}
 	return n
 }
--- a/ingress/call.go
+++ b/ingress/call.go
@@ -43,7 +43,7 @@
 	ofRepeat float64
 	timeout  time.Duration
 	// content is what the request asks for, the same whenever it comes again.
-	content  poison.Content
+	content  poison.Fingerprint
 	key      string
 	attempt  uint32
 	method   string
@@ -120,13 +120,13 @@
 // by what was seen of its route.
 func (g *Ingress) findOrigin(c *call) {
 	work := g.local.Work(contract.ParentOf(c.id))
-	source := g.routes.source(c.route.Key, work.All == 0)
-	if work.Known {
-		c.further = work.OfRepeat > 0
+	source := g.routes.source(c.route.Key, work.Total == 0)
+	if work.ForRequest {
+		c.further = work.RetryShare > 0
 		return
 	}
 	if source == fromWork {
-		c.ofRepeat = work.OfRepeat
+		c.ofRepeat = work.RetryShare
 	}
 }
 
--- a/ingress/calls_test.go
+++ b/ingress/calls_test.go
@@ -124,7 +124,7 @@
 		first, further := uint64(0), uint64(0)
 		for _, st := range e.Statuses() {
 			if st.Endpoint == "b0" {
-				first, further = first+st.Arrivals.First, further+st.Arrivals.Further
+				first, further = first+st.Arrivals.FirstSends, further+st.Arrivals.Retries
 			}
 		}
 		return fmt.Sprintf("%d, hub: %d first, %d further\n", status, first, further)
--- a/ingress/exchange.go
+++ b/ingress/exchange.go
@@ -44,7 +44,7 @@
 	winner   *winner
 	refusals *refusals
 	// holds are what the answers of the sends hold of the node's budget.
-	holds []*memory.Hold
+	holds []*memory.Reservation
 	// tried are the endpoints that have had the request or have turned it away for a reason that lasts.
 	tried []string
 	// declined are those of this round that had no free slot, or took only trials, when they were asked.
@@ -70,7 +70,7 @@
 	sends int
 	// paid is set while the customer's limit has let a send pass that has reached no endpoint yet, pass is that.
 	paid     bool
-	pass     ratelimit.Pass
+	pass     ratelimit.Permit
 	progress progress
 	// closing closes progress when the node stops, nil before.
 	closing *time.Timer
@@ -166,13 +166,13 @@
 		return director.Pick{}, true, fault.New(fault.Overloaded, x.call.service.Key, "every endpoint asked is full")
 	}
 	wish := x.wish()
-	wish.Least = true
+	wish.ShortestWait = true
 	// Whoever waits anyway waits in its own hall first.
-	wish.Near = x.waits == 1
-	wish.Tried = slices.Concat(x.tried, x.suspects)
+	wish.LocalHallOnly = x.waits == 1
+	wish.Exclude = slices.Concat(x.tried, x.suspects)
 	pick, err := x.g.director.Pick(ctx, wish)
-	if err != nil && wish.Near {
-		wish.Near = false
+	if err != nil && wish.LocalHallOnly {
+		wish.LocalHallOnly = false
 		pick, err = x.g.director.Pick(ctx, wish)
 	}
 	if err != nil && len(x.suspects) > 0 {
@@ -186,8 +186,8 @@
 	for x.offers < mostOffers {
 		x.offers++
 		wish := x.wish()
-		wish.Free, wish.Near = true, true
-		wish.Tried = slices.Concat(x.tried, x.declined)
+		wish.RequireFreeSlot, wish.LocalHallOnly = true, true
+		wish.Exclude = slices.Concat(x.tried, x.declined)
 		pick, err := x.g.director.Pick(ctx, wish)
 		if err == nil {
 			return pick, true
@@ -199,7 +199,7 @@
 		if x.far++; x.far > mostFar {
 			break
 		}
-		wish.Near = false
+		wish.LocalHallOnly = false
 		if pick, err := x.g.director.Pick(ctx, wish); err == nil {
 			return pick, true
 		}
@@ -209,16 +209,16 @@
 }
 
 // wish is what any endpoint for the request must meet.
-func (x *exchange) wish() director.Wish {
-	return director.Wish{
-		Service: x.call.service.Key, Repeatable: x.call.repeatable && x.sends == 0, Tried: x.tried, Again: x.further(),
+func (x *exchange) wish() director.PickOptions {
+	return director.PickOptions{
+		Service: x.call.service.Key, Repeatable: x.call.repeatable && x.sends == 0, Exclude: x.tried, IsRetry: x.further(),
 		Regions: x.call.regions,
 	}
 }
 
 // send makes one send and reports what it showed of the endpoint.
 func (x *exchange) send(ctx context.Context, pick director.Pick, claim *peerpb.Claim, wait bool) *peerpb.End {
-	x.answer.late.begin(func() { x.g.director.Late(x.call.service.Key, pick) })
+	x.answer.late.begin(func() { x.g.director.ReportOverdue(x.call.service.Key, pick) })
 	d := x.dispatch(ctx, pick, claim)
 	x.mark(d, wait)
 	ctx, cancel := context.WithCancel(ctx)
@@ -251,21 +251,21 @@
 
 // holdFor has what an answer holds counted in the node's budget.
 func (x *exchange) holdFor(a *answer) {
-	a.hold = x.g.budget.Hold(x.call.customer)
+	a.hold = x.g.budget.NewReservation(x.call.customer)
 	x.holds = append(x.holds, a.hold)
 }
 
 // leave has sends that outlive the request give back themselves what their answers hold.
 func (x *exchange) leave(running []*attempt) {
 	for _, a := range running {
-		x.holds = slices.DeleteFunc(x.holds, func(h *memory.Hold) bool { return h == a.answer.hold })
+		x.holds = slices.DeleteFunc(x.holds, func(h *memory.Reservation) bool { return h == a.answer.hold })
 	}
 }
 
 // free gives back what the answers of the sends that have ended hold.
 func (x *exchange) free() {
 	for _, h := range x.holds {
-		h.Free()
+		h.Release()
 	}
 }
 
@@ -298,7 +298,7 @@
 		Method: x.call.method, Target: x.call.target, Host: x.call.host, Headers: x.call.headers,
 		BudgetMicros: x.left(deadline).Microseconds(), Repeatable: x.call.repeatable, Claim: claim,
 		Route: x.call.route.Key, Config: x.call.config,
-		Revision: x.call.revision, LateMicros: pick.Late.Microseconds(), Caller: x.g.cfg.Service,
+		Revision: x.call.revision, LateMicros: pick.OverdueAfter.Microseconds(), Caller: x.g.cfg.Service,
 		Priority: x.call.rank(x.g.snapshot().State), Keyed: x.call.keyed, AimMicros: x.aimLeft().Microseconds(),
 		UsualMicros: x.g.routes.usual(x.call.route.Key, x.aim()).Microseconds(), Content: x.call.content[:],
 	}
@@ -381,12 +381,12 @@
 }
 
 // mostOwnEnds is how many endpoints may end at one request's own sends: with one more it would be barred before it comes again.
-const mostOwnEnds = poison.BarAfter - 1
+const mostOwnEnds = poison.BlockThreshold - 1
 
 // mayEnd tells whether a further send is not to be made because an endpoint has ended under the same request before, and one may have
 // had this one: with a second send each arrival of such a request ends two.
 func (x *exchange) mayEnd() bool {
-	return x.arrived && x.g.fatal.Ends(x.call.content) >= poison.SendOnce || x.ended >= mostOwnEnds
+	return x.arrived && x.g.fatal.Ends(x.call.content) >= poison.NoRetryThreshold || x.ended >= mostOwnEnds
 }
 
 // afterDeclined notes an endpoint that turned the request away before anything was sent, and tells whether to ask another.
@@ -419,9 +419,9 @@
 func (x *exchange) judgement(ctx context.Context, pick director.Pick, end *peerpb.End) retry.Attempt {
 	deadline, _ := ctx.Deadline()
 	return retry.Attempt{
-		Number: x.sends, Most: int(x.call.route.Value.Attempts), Outcome: end.GetOutcome(), Repeatable: x.call.repeatable,
+		Attempts: x.sends, MaxAttempts: int(x.call.route.Value.Attempts), Outcome: end.GetOutcome(), Repeatable: x.call.repeatable,
 		Overloaded: crowded(end) || fault.Code(end.GetCode()) == fault.EndpointShed,
-		Failed:     x.answer.failed(end), Started: x.answer.started, Replayable: true,
-		Left: time.Until(deadline), Typical: pick.Typical,
+		Failed:     x.answer.failed(end), AnswerStarted: x.answer.started, Replayable: true,
+		TimeLeft: time.Until(deadline), TypicalServiceTime: pick.TypicalLatency,
 	}
 }
--- a/ingress/hedge.go
+++ b/ingress/hedge.go
@@ -47,7 +47,7 @@
 	at     time.Duration
 	second bool
 	// pass is what the customer's limit has let pass for a second send.
-	pass   ratelimit.Pass
+	pass   ratelimit.Permit
 	cancel context.CancelFunc
 	end    *peerpb.End
 }
@@ -100,7 +100,7 @@
 	x := h.x
 	ctx, cancel := context.WithCancel(ctx)
 	a := &attempt{pick: pick, answer: x.newAnswer(), at: time.Since(x.start), second: second, cancel: cancel}
-	a.answer.late.begin(func() { x.g.director.Late(x.call.service.Key, pick) })
+	a.answer.late.begin(func() { x.g.director.ReportOverdue(x.call.service.Key, pick) })
 	d := x.dispatch(ctx, pick, nil)
 	x.mark(d, wait)
 	d.TellDue = !second
@@ -117,7 +117,7 @@
 func (h *hedge) startSecond(ctx context.Context) {
 	x := h.x
 	if x.sends+len(h.running)+len(h.done)+len(h.beaten) >= x.mostSends() || x.refusals.refusing() || !x.adopt() ||
-		x.progress.isClosed() || x.ended >= mostOwnEnds || x.g.fatal.Ends(x.call.content) >= poison.SendOnce {
+		x.progress.isClosed() || x.ended >= mostOwnEnds || x.g.fatal.Ends(x.call.content) >= poison.NoRetryThreshold {
 		return
 	}
 	if len(h.declined) >= mostSeconds {
@@ -125,10 +125,10 @@
 		return
 	}
 	wish := x.wish()
-	wish.Free, wish.Again = true, true
-	wish.Tried = slices.Concat(x.tried, x.declined, h.declined)
+	wish.RequireFreeSlot, wish.IsRetry = true, true
+	wish.Exclude = slices.Concat(x.tried, x.declined, h.declined)
 	for _, a := range h.running {
-		wish.Tried = append(wish.Tried, a.pick.Endpoint.Key)
+		wish.Exclude = append(wish.Exclude, a.pick.Endpoint.Key)
 	}
 	pick, err := x.g.director.Pick(ctx, wish)
 	if err != nil {
@@ -192,7 +192,7 @@
 			for range rest {
 				a := <-h.ended
 				x.report(a)
-				a.answer.hold.Free()
+				a.answer.hold.Release()
 			}
 		}()
 	}
@@ -205,14 +205,14 @@
 	if n := int(x.call.route.Value.Attempts); n > 0 {
 		return n
 	}
-	return retry.MostAttempts
+	return retry.MaxAttempts
 }
 
 // settleAttempt notes how a send ended.
 func (x *exchange) settleAttempt(a *attempt) {
 	x.note(a.end)
 	x.count(a.end)
-	x.trail.add(step{endpoint: a.pick.Endpoint.Key, at: a.at, seenMillis: a.pick.SeenMillis, end: a.end})
+	x.trail.add(step{endpoint: a.pick.Endpoint.Key, at: a.at, seenMillis: a.pick.ReportAgeMillis, end: a.end})
 	if worked(a.end) && !a.answer.failed(a.end) {
 		work := time.Duration(a.end.GetLoad().GetServiceMicros()) * time.Microsecond
 		x.g.routes.note(x.call.route.Key, work, len(x.body.head)+a.answer.size)
@@ -226,8 +226,8 @@
 	a.answer.due.end()
 	late := a.answer.late.end()
 	x.g.director.Done(director.Report{
-		Service: x.call.service.Key, Pick: a.pick, WasLate: late, Load: a.end.GetLoad(),
-		Worked: worked(a.end) && !a.end.GetLoad().GetTrial(), Failed: a.answer.failed(a.end),
-		Declined: declined(a.end) || misplaced(a.end), Spent: fault.Code(a.end.GetCode()) == fault.RetryBudget,
+		Service: x.call.service.Key, Pick: a.pick, WasOverdue: late, Load: a.end.GetLoad(),
+		Received: worked(a.end) && !a.end.GetLoad().GetTrial(), Failed: a.answer.failed(a.end),
+		Refused: declined(a.end) || misplaced(a.end), OutOfRetries: fault.Code(a.end.GetCode()) == fault.RetryBudget,
 	})
 }
--- a/ingress/hedge_test.go
+++ b/ingress/hedge_test.go
@@ -60,7 +60,7 @@
 type endsBefore int
 
 // Ends implements Fatal.
-func (n endsBefore) Ends(poison.Content) int { return int(n) }
+func (n endsBefore) Ends(poison.Fingerprint) int { return int(n) }
 
 func endName(end *peerpb.End) string {
 	return strings.TrimSpace(strings.ToLower(strings.TrimPrefix(end.GetOutcome().String(), "OUTCOME_")) + " " + end.GetCode())
@@ -115,7 +115,7 @@
 func (*scripted) Settle(*peerpb.Settle) {}
 
 // Work implements Local.
-func (*scripted) Work(string) inflight.Work { return inflight.Work{} }
+func (*scripted) Work(string) inflight.Snapshot { return inflight.Snapshot{} }
 
 // fleet returns a state with a service of some endpoints, all beside this node, and a route to it.
 func fleet(t *testing.T, endpoints, attempts int) *table.State {
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -46,7 +46,7 @@
 	// Settle notes how a claimed request ended elsewhere.
 	Settle(s *peerpb.Settle)
 	// Work tells of the work that the endpoints beside this node have, and of that for a request.
-	Work(request string) inflight.Work
+	Work(request string) inflight.Snapshot
 }
 
 // Ingress is the handler of the callers' listener.
@@ -65,7 +65,7 @@
 	sent atomic.Uint64
 	// confirm asks the platform whether this node's configuration is the newest.
 	confirm func(ctx context.Context) bool
-	fatal   Fatal
+	fatal   CrashCounter
 	clock   clock.Clock
 	// budget is what this node may hold of answers.
 	budget   *memory.Budget
@@ -79,34 +79,34 @@
 // Limits keeps customers to what they may send.
 type Limits interface {
 	// Take lets one send of a customer pass, else tells when one should.
-	Take(ctx context.Context, customer string) (ratelimit.Pass, time.Duration, bool)
+	Take(ctx context.Context, customer string) (ratelimit.Permit, time.Duration, bool)
 }
 
 // unlimited lets everything pass.
 type unlimited struct{}
 
 // Take implements Limits.
-func (unlimited) Take(context.Context, string) (ratelimit.Pass, time.Duration, bool) {
-	return ratelimit.Pass{}, 0, true
+func (unlimited) Take(context.Context, string) (ratelimit.Permit, time.Duration, bool) {
+	return ratelimit.Permit{}, 0, true
 }
 
 // WithLimits has customers kept to their limits.
 func WithLimits(l Limits) Option { return func(g *Ingress) { g.limits = l } }
 
 // Fatal tells what is known of requests under which endpoints ended.
-type Fatal interface {
+type CrashCounter interface {
 	// Ends returns how many endpoints ended under a content.
-	Ends(c poison.Content) int
+	Ends(c poison.Fingerprint) int
 }
 
 // harmless knows of no such request.
 type harmless struct{}
 
 // Ends implements Fatal.
-func (harmless) Ends(poison.Content) int { return 0 }
+func (harmless) Ends(poison.Fingerprint) int { return 0 }
 
 // WithFatal has requests that end endpoints refused.
-func WithFatal(f Fatal) Option { return func(g *Ingress) { g.fatal = f } }
+func WithCrashCounter(f CrashCounter) Option { return func(g *Ingress) { g.fatal = f } }
 
 // WithClock replaces the clock that counts the time in which the host is suspended.
 func WithClock(c clock.Clock) Option { return func(g *Ingress) { g.clock = c } }
@@ -121,7 +121,9 @@
 type Option func(*Ingress)
 
 // WithConfirm has an unknown route told as such only after f has said that the configuration in force is the newest.
-func WithConfirm(f func(ctx context.Context) bool) Option { return func(g *Ingress) { g.confirm = f } }
+func WithNewestConfigCheck(f func(ctx context.Context) bool) Option {
+	return func(g *Ingress) { g.confirm = f }
+}
 
 // New returns an ingress.
 func New(
@@ -151,7 +153,7 @@
 }
 
 // Payer returns the customer of a request by what its header says, "" for none that is known.
-func (g *Ingress) Payer(h http.Header) string {
+func (g *Ingress) CustomerOf(h http.Header) string {
 	s := g.snapshot().State
 	if !s.KeysRequired() {
 		say, _ := g.cfg.Contract.Call(h)
@@ -230,8 +232,8 @@
 		g.refuseEarly(w, r, c.id, end, err.Detail)
 		return end
 	}
-	c.content = poison.ContentOf(c.customer, c.method, c.route.Value.Host, c.target, body.head)
-	if g.fatal.Ends(c.content) >= poison.BarAfter {
+	c.content = poison.FingerprintOf(c.customer, c.method, c.route.Value.Host, c.target, body.head)
+	if g.fatal.Ends(c.content) >= poison.BlockThreshold {
 		pass.Return()
 		end := peer.NotRun(fault.FatalRequest, 0)
 		events.RequestRefused.Log(g.log).Str("request", c.id).Str("code", end.GetCode()).Str("service", c.service.Key).
@@ -241,7 +243,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), c.timeout)
 	defer cancel()
-	x := &exchange{g: g, start: time.Now(), watch: g.clock.Begin(), call: c, body: body, winner: new(winner), pass: pass, paid: true}
+	x := &exchange{g: g, start: time.Now(), watch: g.clock.StartStopwatch(), call: c, body: body, winner: new(winner), pass: pass, paid: true}
 	x.answer = newAnswer(w, c, g.cfg.Contract, x.winner)
 	x.answer.progress = &x.progress
 	x.holdFor(x.answer)
--- a/ingress/inplace_test.go
+++ b/ingress/inplace_test.go
@@ -41,7 +41,7 @@
 func (*restarted) Settle(*peerpb.Settle) {}
 
 // Work implements Local.
-func (*restarted) Work(string) inflight.Work { return inflight.Work{} }
+func (*restarted) Work(string) inflight.Snapshot { return inflight.Snapshot{} }
 
 // TestEndpointInPlaceIsAskedAtOnce sends requests that may and may not repeat to a fleet that has just come back: each is served
 // by the endpoint that stands where the asked one stood, at the first try, under an exchange of its own.
--- a/ingress/keyed.go
+++ b/ingress/keyed.go
@@ -64,7 +64,7 @@
 func (x *exchange) homes(id dedupe.ID) []table.Entry[table.Endpoint] {
 	snap := x.g.snapshot()
 	view, _ := snap.State.Service(x.call.service.Key)
-	names := keyowner.Homes(keyowner.Names(view, func(e table.Endpoint) bool {
+	names := keyowner.Owners(keyowner.Candidates(view, func(e table.Endpoint) bool {
 		return snap.Listed(e.Host) && x.call.regions.Allows(snap.RegionOf(e.Hall))
 	}), id)
 	out := make([]table.Entry[table.Endpoint], 0, len(names))
@@ -102,7 +102,7 @@
 	return &peerpb.Claim{
 		Scope: x.call.scope(), Key: x.call.key, Attempt: x.call.attempt,
 		Fingerprint: x.call.fingerprint(x.body), ClaimOnly: claimOnly, Fence: fence,
-		Regions: x.call.regions.Names(), Bound: x.call.regions.Bound(),
+		Regions: x.call.regions.Names(), Bound: x.call.regions.IsRestricted(),
 	}
 }
 
@@ -138,7 +138,7 @@
 // runAtHome runs the request at the home's own endpoint if that takes work, else elsewhere under the home's grant.
 func (x *exchange) runAtHome(ctx context.Context, home table.Entry[table.Endpoint], vouched bool) *peerpb.End {
 	wish := x.wish()
-	wish.Only = home.Key
+	wish.Pinned = home.Key
 	pick, err := x.g.director.Pick(ctx, wish)
 	if err == nil {
 		end := x.send(ctx, pick, vouch(x.claim(false, false), vouched), true)
--- a/ingress/keys_test.go
+++ b/ingress/keys_test.go
@@ -60,7 +60,7 @@
 func (*keyed) Settle(*peerpb.Settle) {}
 
 // Work implements Local.
-func (*keyed) Work(string) inflight.Work { return inflight.Work{} }
+func (*keyed) Work(string) inflight.Snapshot { return inflight.Snapshot{} }
 
 // rows reads lines of "KIND KEY COLUMN=VALUE ..." or "KIND KEY -".
 func (k *keyed) rows(lines string, from *table.State) *table.State {
--- a/ingress/lastresort.go
+++ b/ingress/lastresort.go
@@ -60,7 +60,7 @@
 	wish := x.wish()
 	for _, key := range x.declined {
 		if !slices.Contains(x.suspects, key) {
-			wish.Tried = append(slices.Clone(wish.Tried), key)
+			wish.Exclude = append(slices.Clone(wish.Exclude), key)
 		}
 	}
 	pick, err := x.g.director.Pick(ctx, wish)
--- a/ingress/progress.go
+++ b/ingress/progress.go
@@ -29,7 +29,7 @@
 	Stage    Stage
 	Endpoint string
 	// After is how long ago it came.
-	After time.Duration
+	Age time.Duration
 }
 
 // progress is how far one request has come, for whoever stops the node.
@@ -199,7 +199,7 @@
 
 // HandOverUntil has each request that no endpoint has refused as not run while that can still be told, given when the node may end at the
 // earliest. An endpoint that got it later would mostly see it cut, and another node can still serve it.
-func (g *Ingress) HandOverUntil(end time.Time) {
+func (g *Ingress) StopDispatchBefore(end time.Time) {
 	g.underWay.mu.Lock()
 	defer g.underWay.mu.Unlock()
 	g.underWay.until = end
@@ -210,7 +210,7 @@
 
 // GiveUpLost has callers told at once that the fate of their requests is unknown where no answer has come so far and the end of the node ends no
 // work: under a key, and where a link broke after the hand-over.
-func (g *Ingress) GiveUpLost() {
+func (g *Ingress) AbandonRecoverable() {
 	g.underWay.mu.Lock()
 	defer g.underWay.mu.Unlock()
 	for x := range g.underWay.all {
@@ -219,14 +219,14 @@
 }
 
 // UnderWay returns the requests that are under way, the oldest first.
-func (g *Ingress) UnderWay() []Request {
+func (g *Ingress) InFlight() []Request {
 	g.underWay.mu.Lock()
 	defer g.underWay.mu.Unlock()
 	out := make([]Request, 0, len(g.underWay.all))
 	for x := range g.underWay.all {
 		stage, endpoint := x.progress.stage()
-		out = append(out, Request{ID: x.call.id, Stage: stage, Endpoint: endpoint, After: time.Since(x.start)})
+		out = append(out, Request{ID: x.call.id, Stage: stage, Endpoint: endpoint, Age: time.Since(x.start)})
 	}
-	slices.SortFunc(out, func(a, b Request) int { return cmp.Compare(b.After, a.After) })
+	slices.SortFunc(out, func(a, b Request) int { return cmp.Compare(b.Age, a.Age) })
 	return out
 }
--- a/ingress/refusals.go
+++ b/ingress/refusals.go
@@ -28,7 +28,7 @@
 func (r *refusals) decide(a retry.Attempt) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Answer(a.Overloaded)
+	r.Record(a.Overloaded)
 	return r.Decide(a)
 }
 
--- a/ingress/regions_test.go
+++ b/ingress/regions_test.go
@@ -28,7 +28,7 @@
 		{nil, map[string]bool{"own": true, "neighbour": true, "home": true, "other": true, "unknown": true}},
 		{[]string{"far"}, map[string]bool{"own": true, "neighbour": true, "home": true, "other": false, "unknown": false}},
 	} {
-		x.call.regions = region.Any.With(c.bound)
+		x.call.regions = region.Any.Intersect(c.bound)
 		for hall, want := range c.want {
 			if got := x.mayPass(hall); got != want {
 				t.Errorf("data of %v by hall %s: got %v, want %v", c.bound, hall, got, want)
--- a/ingress/routes.go
+++ b/ingress/routes.go
@@ -24,13 +24,13 @@
 type routes struct {
 	mu sync.Mutex
 	// times are the times of the work, sizes the bytes of request and answer together.
-	times *latency.Kinds
+	times *latency.Models
 	sizes *simplelru.LRU[string, float64]
 	seen  *simplelru.LRU[string, arrivals]
 }
 
 func newRoutes() *routes {
-	return &routes{times: latency.NewKinds(), sizes: newMemory[float64](), seen: newMemory[arrivals]()}
+	return &routes{times: latency.NewModels(), sizes: newMemory[float64](), seen: newMemory[arrivals]()}
 }
 
 // newMemory returns a bounded map by route.
@@ -57,7 +57,7 @@
 func (r *routes) note(route string, work time.Duration, bytes int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.times.Note(route, work)
+	r.times.Observe(route, work)
 	usual, ok := r.sizes.Get(route)
 	if !ok {
 		usual = float64(bytes)
@@ -69,14 +69,14 @@
 func (r *routes) usual(route string, aim time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.times.Of(route, aim/aimPart).Quantile(half)
+	return r.times.For(route, aim/aimPart).Quantile(half)
 }
 
 // ordinary returns the time that suffices for most of a route's work, a part of its aim while that is not known.
 func (r *routes) ordinary(route string, aim time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.times.Of(route, aim/aimPart).Quantile(usualShare)
+	return r.times.For(route, aim/aimPart).Quantile(usualShare)
 }
 
 // patience returns how long a request with so much time left to its aim waits for a slot in its own hall, so that its
@@ -84,7 +84,7 @@
 func (r *routes) patience(route string, left time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	model := r.times.Of(route, 0)
+	model := r.times.For(route, 0)
 	size, ok := r.sizes.Peek(route)
 	if !ok || !model.Known() {
 		return 0
--- a/ingress/stop_test.go
+++ b/ingress/stop_test.go
@@ -89,7 +89,7 @@
 func (*doors) Settle(*peerpb.Settle) {}
 
 // Work implements Local.
-func (*doors) Work(string) inflight.Work { return inflight.Work{} }
+func (*doors) Work(string) inflight.Snapshot { return inflight.Snapshot{} }
 
 // TestStops runs the scenarios of testdata/stop: requests of a node from which nothing is handed over any more. It prints what the caller is
 // told, with when to come back, and each send with what became of it.
@@ -106,7 +106,7 @@
 		r := httptest.NewRequest(strings.ToUpper(d.Cmd), "http://desk.example/x", nil)
 		r.RequestURI = "/x"
 		if d.HasArg("after") {
-			g.HandOverUntil(time.Now())
+			g.StopDispatchBefore(time.Now())
 		}
 		done := make(chan struct{})
 		go func() {
@@ -116,7 +116,7 @@
 		for range words {
 			<-local.begun
 		}
-		g.HandOverUntil(time.Now())
+		g.StopDispatchBefore(time.Now())
 		close(local.closed)
 		select {
 		case <-done:
--- a/ingress/suspended_test.go
+++ b/ingress/suspended_test.go
@@ -12,7 +12,7 @@
 func TestSuspendedHostHasLessTimeLeft(t *testing.T) {
 	lost := time.Duration(0)
 	c := clock.Clock(func() time.Time { return time.Now().Add(lost) })
-	x := &exchange{watch: c.Begin()}
+	x := &exchange{watch: c.StartStopwatch()}
 	deadline := time.Now().Add(4 * time.Second)
 	for _, step := range []struct{ lost, want time.Duration }{{0, 4 * time.Second}, {3 * time.Second, time.Second}, {9 * time.Second, 0}} {
 		lost = step.lost
--- a/keyowner/keyhome.go
+++ b/keyowner/keyhome.go
@@ -11,12 +11,12 @@
 )
 
 // Count is how many homes a key has: the first, and the one that takes first attempts while that cannot be reached.
-const Count = 2
+const OwnersPerKey = 2
 
 // Names returns the endpoints that can be homes, in key order: those in the table that fit, because the platform's list shows their hosts
 // and the key's data may be there. Draining ones stay homes until they are retired. A host that the list no longer shows is gone and grants
 // nothing more, so that nodes whose lists differ for a while still meet in a home that both name.
-func Names(v table.ServiceView, fits func(table.Endpoint) bool) []string {
+func Candidates(v table.ServiceView, fits func(table.Endpoint) bool) []string {
 	names := make([]string, 0, len(v.Endpoints))
 	for _, e := range v.Endpoints {
 		if fits(e.Value) {
@@ -27,7 +27,7 @@
 }
 
 // Homes returns the homes of a key, first the one that decides.
-func Homes(endpoints []string, id dedupe.ID) []string {
+func Owners(endpoints []string, id dedupe.ID) []string {
 	type ranked struct {
 		name string
 		rank uint64
@@ -39,8 +39,8 @@
 	slices.SortFunc(list, func(a, b ranked) int {
 		return cmp.Or(cmp.Compare(b.rank, a.rank), cmp.Compare(a.name, b.name))
 	})
-	homes := make([]string, 0, Count)
-	for _, r := range list[:min(Count, len(list))] {
+	homes := make([]string, 0, OwnersPerKey)
+	for _, r := range list[:min(OwnersPerKey, len(list))] {
 		homes = append(homes, r.name)
 	}
 	return homes
--- a/latency/model.go
+++ b/latency/model.go
@@ -40,7 +40,7 @@
 }
 
 // Note adds the time of one piece of work that ended well.
-func (m *Model) Note(d time.Duration) {
+func (m *Model) Observe(d time.Duration) {
 	x := math.Log(max(d.Seconds(), time.Microsecond.Seconds()))
 	m.n = min(m.n+1, memory)
 	diff := x - m.mean
--- a/latency/model_test.go
+++ b/latency/model_test.go
@@ -23,7 +23,7 @@
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		var m Model
 		for range 3 * memory {
-			m.Note(lognormal(random, median, spread))
+			m.Observe(lognormal(random, median, spread))
 		}
 		want := float64(jitter) + float64(median)*math.Exp(1.645*spread)
 		if got := float64(m.Quantile(0.95)) / want; got < 0.66 || got > 1.5 {
@@ -37,7 +37,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var m Model
 		for _, ms := range rapid.SliceOfN(rapid.IntRange(1, 5000), 0, 50).Draw(t, "times") {
-			m.Note(time.Duration(ms) * time.Millisecond)
+			m.Observe(time.Duration(ms) * time.Millisecond)
 		}
 		last := 1.0
 		for age := time.Millisecond; age < time.Minute; age *= 2 {
@@ -53,20 +53,20 @@
 // TestKindsAreToldApart checks that short work is judged by its own times once some of it was seen, and by all work
 // until then.
 func TestKindsAreToldApart(t *testing.T) {
-	k := NewKinds()
-	if got, want := k.Of("lookup", 0).Known(), false; got != want {
+	k := NewModels()
+	if got, want := k.For("lookup", 0).Known(), false; got != want {
 		t.Errorf("at first: got known %v, want %v", got, want)
 	}
 	for range 50 {
-		k.Note("booking", 500*time.Millisecond)
+		k.Observe("booking", 500*time.Millisecond)
 	}
-	if got, least := k.Of("lookup", 0).Quantile(0.5), 400*time.Millisecond; got < least {
+	if got, least := k.For("lookup", 0).Quantile(0.5), 400*time.Millisecond; got < least {
 		t.Errorf("half of unseen work: got %v, want the time of all work, at least %v", got, least)
 	}
 	for range 50 {
-		k.Note("lookup", 100*time.Millisecond)
+		k.Observe("lookup", 100*time.Millisecond)
 	}
-	if got, most := k.Of("lookup", 0).Quantile(0.5), 100*time.Millisecond+2*jitter; got > most {
+	if got, most := k.For("lookup", 0).Quantile(0.5), 100*time.Millisecond+2*jitter; got > most {
 		t.Errorf("half of the lookups: got %v, want at most %v", got, most)
 	}
 }
@@ -74,7 +74,7 @@
 // TestUnseenKindGoesByWhatOthersKnow checks that an endpoint which has answered nothing yet is judged by the usual time of
 // such work elsewhere.
 func TestUnseenKindGoesByWhatOthersKnow(t *testing.T) {
-	m := NewKinds().Of("booking", 500*time.Millisecond)
+	m := NewModels().For("booking", 500*time.Millisecond)
 	if got, most := m.Survival(5*time.Second), 0.05; got > most {
 		t.Errorf("share of work that takes ten times the usual: got %v, want at most %v", got, most)
 	}
@@ -82,9 +82,9 @@
 
 // TestKindsAreBounded checks that a service of many routes does not fill a node's memory.
 func TestKindsAreBounded(t *testing.T) {
-	k := NewKinds()
+	k := NewModels()
 	for i := range 10 * mostKinds {
-		k.Note(string(rune('a'+i)), time.Millisecond)
+		k.Observe(string(rune('a'+i)), time.Millisecond)
 	}
 	if got, want := k.models.Len(), mostKinds; got != want {
 		t.Errorf("kinds held: got %d, want %d", got, want)
--- a/memory/budget.go
+++ b/memory/budget.go
@@ -28,22 +28,24 @@
 }
 
 // Use is how a budget stands.
-type Use struct {
+type Usage struct {
 	// Size, Used and Most are bytes: all there are, those held now, and the most so far.
-	Size, Used, Most int64
+	Size, Used, Peak int64
 	// Refused counts what found no room.
 	Refused uint64
 }
 
 // Use returns how the budget stands.
-func (b *Budget) Use() Use {
+func (b *Budget) Usage() Usage {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return Use{Size: b.size, Used: b.used, Most: b.most, Refused: b.refused}
+	return Usage{Size: b.size, Used: b.used, Peak: b.most, Refused: b.refused}
 }
 
 // Hold returns a holding of a customer, which is empty.
-func (b *Budget) Hold(customer string) *Hold { return &Hold{budget: b, customer: customer} }
+func (b *Budget) NewReservation(customer string) *Reservation {
+	return &Reservation{budget: b, customer: customer}
+}
 
 // take takes bytes for a customer; false when there is no room for them.
 func (b *Budget) take(customer string, n int64) bool {
@@ -73,14 +75,14 @@
 }
 
 // Freed returns a channel that is closed when something is given back.
-func (b *Budget) Freed() <-chan struct{} {
+func (b *Budget) Released() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.freed
 }
 
 // Hold is what one exchange holds of a budget; it is safe for concurrent use. A nil holding takes and bounds nothing.
-type Hold struct {
+type Reservation struct {
 	budget   *Budget
 	customer string
 
@@ -90,7 +92,7 @@
 }
 
 // Grow takes so many bytes more; false when there is no room for them, or all was given back.
-func (h *Hold) Grow(n int) bool {
+func (h *Reservation) Grow(n int) bool {
 	if h == nil {
 		return true
 	}
@@ -104,7 +106,7 @@
 }
 
 // Shrink gives so many bytes back, no more than are held.
-func (h *Hold) Shrink(n int) {
+func (h *Reservation) Shrink(n int) {
 	if h == nil {
 		return
 	}
@@ -119,7 +121,7 @@
 }
 
 // Free gives all back for good.
-func (h *Hold) Free() {
+func (h *Reservation) Release() {
 	if h == nil {
 		return
 	}
@@ -131,9 +133,9 @@
 }
 
 // Freed returns a channel that is closed when something of the budget is given back.
-func (h *Hold) Freed() <-chan struct{} {
+func (h *Reservation) Released() <-chan struct{} {
 	if h == nil {
 		return nil
 	}
-	return h.budget.Freed()
+	return h.budget.Released()
 }
--- a/memory/budget_test.go
+++ b/memory/budget_test.go
@@ -17,12 +17,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.Int64Range(1, 1000).Draw(t, "size")
 		b := New(size)
-		var holds []*Hold
+		var holds []*Reservation
 		sum := int64(0)
-		bytes := make(map[*Hold]int64)
+		bytes := make(map[*Reservation]int64)
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			if len(holds) == 0 || rapid.IntRange(0, 3).Draw(t, "new") == 0 {
-				holds = append(holds, b.Hold(fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "customer"))))
+				holds = append(holds, b.NewReservation(fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "customer"))))
 			}
 			h := rapid.SampledFrom(holds).Draw(t, "hold")
 			n := rapid.IntRange(0, 300).Draw(t, "bytes")
@@ -32,7 +32,7 @@
 				h.Shrink(n)
 				bytes[h], sum = bytes[h]-back, sum-back
 			case 1:
-				h.Free()
+				h.Release()
 				sum -= bytes[h]
 				bytes[h] = 0
 			default:
@@ -43,15 +43,15 @@
 					}
 				}
 			}
-			use := b.Use()
-			if use.Used != sum || use.Used > size || use.Most > size {
+			use := b.Usage()
+			if use.Used != sum || use.Used > size || use.Peak > size {
 				t.Fatalf("use: got %+v, want %d held of %d", use, sum, size)
 			}
 		}
 	})
 }
 
-func heldBy(bytes map[*Hold]int64, customer string) (sum int64) {
+func heldBy(bytes map[*Reservation]int64, customer string) (sum int64) {
 	for h, n := range bytes {
 		if h.customer == customer {
 			sum += n
@@ -64,7 +64,7 @@
 func TestOneCustomerLeavesRoom(t *testing.T) {
 	b := New(1200)
 	for i, want := range []int64{600, 300, 150} {
-		h := b.Hold(fmt.Sprint(i))
+		h := b.NewReservation(fmt.Sprint(i))
 		got := int64(0)
 		for h.Grow(10) {
 			got += 10
--- a/node/config.go
+++ b/node/config.go
@@ -80,10 +80,10 @@
 func (n *Node) followConfig() configsync.Config {
 	c := configsync.Config{
 		Host: n.cfg.Node.ID, Hall: n.cfg.Node.Hall,
-		Retry: n.cfg.Platform.Retry.Std(), RetryMost: n.cfg.Platform.RetryMost.Std(),
-		Wait: n.cfg.Platform.Wait.Std(), Timeout: n.cfg.Platform.Timeout.Std(),
+		RetryInterval: n.cfg.Platform.Retry.Std(), MaxRetryInterval: n.cfg.Platform.RetryMost.Std(),
+		LongPollTimeout: n.cfg.Platform.Wait.Std(), Timeout: n.cfg.Platform.Timeout.Std(),
 		Readers: n.cfg.Platform.Readers, ConfigReaders: n.cfg.Platform.ConfigReaders,
-		WithConfig: n.cfg.Platform.Config, Policy: n.policy(), Regions: n.cfg.Node.Regions,
+		WithConfig: n.cfg.Platform.Config, ServiceDefaults: n.policy(), Regions: n.cfg.Node.Regions,
 	}
 	for _, seed := range n.cfg.Peers.Seeds {
 		address := seed.AddrPort
@@ -100,8 +100,8 @@
 func (n *Node) ejection() eject.Config {
 	c := n.cfg.Ejection
 	cfg := eject.DefaultConfig()
-	cfg.FirstEjection, cfg.LongestEjection, cfg.Forgive = c.First.Std(), c.Longest.Std(), c.Forgive.Std()
-	cfg.ProbeSuccesses, cfg.RampStep = c.Successes, c.RampStep.Std()
+	cfg.BaseEjectionTime, cfg.MaxEjectionTime, cfg.ForgiveInterval = c.First.Std(), c.Longest.Std(), c.Forgive.Std()
+	cfg.TrickleSuccesses, cfg.RampStep = c.Successes, c.RampStep.Std()
 	return cfg
 }
 
@@ -138,14 +138,14 @@
 func (n *Node) egressConfig(incarnation uint64) egress.Config {
 	c := n.cfg.Endpoints
 	return egress.Config{
-		Host: n.cfg.Node.ID, Hall: n.cfg.Node.Hall, Incarnation: incarnation, ProbePath: c.ProbePath, ProbeEvery: c.ProbeEvery.Std(),
-		KeyWindow: c.KeyWindow.Std(), KeySettle: c.KeySettle.Std(), KeyBytes: int(c.KeyBytes),
+		Host: n.cfg.Node.ID, Hall: n.cfg.Node.Hall, Incarnation: incarnation, ProbePath: c.ProbePath, ProbeInterval: c.ProbeEvery.Std(),
+		KeyWindow: c.KeyWindow.Std(), ConvergenceTime: c.KeySettle.Std(), KeyBytes: int(c.KeyBytes),
 		Contract: n.contract(), Breaker: breaker.DefaultConfig(),
-		Retries: retry.Share{
+		Retries: retry.FleetSlack{
 			Slack: n.cfg.Retries.Slack * n.cfg.Retries.Use, Window: n.cfg.Retries.Window.Std(),
-			Most: n.cfg.Retries.MostBurst,
+			MaxShare: n.cfg.Retries.MostBurst,
 		},
-		Cold: coldstart.Bound{Over: n.cfg.Cold.Over, Slack: n.cfg.Cold.Slack},
+		ColdLimit: coldstart.Bound{RateFactor: n.cfg.Cold.Over, Slack: n.cfg.Cold.Slack},
 	}
 }
 
@@ -157,7 +157,7 @@
 	c := n.cfg.Limits
 	return ratelimit.Config{
 		Host: n.cfg.Node.ID, Hall: n.cfg.Node.Hall, Policy: ratelimit.Policy(c.Policy), Settle: c.Settle.Std(),
-		Window: c.Window.Std(), Spare: int(c.Slack * spareShare),
+		Window: c.Window.Std(), Fallback: int(c.Slack * spareShare),
 	}
 }
 
--- a/node/node.go
+++ b/node/node.go
@@ -145,34 +145,34 @@
 		platform.WithToken(string(n.cfg.Platform.Token)), platform.WithTimeout(n.cfg.Platform.Timeout.Std()),
 		platform.WithObserver(calls.note))
 	var e *egress.Egress
-	var limits *ratelimit.Allowance
-	var keeper *quarantine.Keeper
+	var limits *ratelimit.Limiter
+	var keeper *quarantine.Tracker
 	a := announce.New(n.announceConfig(incarnation), n.log, client)
 	follower = configsync.New(n.followConfig(), n.log, client, links, configsync.WithChangeHook(func(s *configsync.Snapshot) {
 		e.Observe(time.Now(), s)
 		a.Observe(s)
 		limits.Observe(s)
 		keeper.Observe(s)
-	}), configsync.WithLeftOut(n.leftOut))
+	}), configsync.WithSkippedList(n.leftOut))
 	keeper = quarantine.New(quarantine.Config{
-		Host: n.cfg.Node.ID, Retry: n.cfg.Platform.Retry.Std(), RetryMost: n.cfg.Platform.RetryMost.Std(), Timeout: n.cfg.Platform.Timeout.Std(),
+		Host: n.cfg.Node.ID, RetryInterval: n.cfg.Platform.Retry.Std(), MaxRetryInterval: n.cfg.Platform.RetryMost.Std(), Timeout: n.cfg.Platform.Timeout.Std(),
 	}, n.log, client, links, follower.Snapshot)
-	egressOptions := []egress.Option{egress.WithEndings(keeper), egress.WithBudget(n.budget)}
+	egressOptions := []egress.Option{egress.WithCrashTracker(keeper), egress.WithBudget(n.budget)}
 	limits = ratelimit.New(n.allowanceConfig(), n.log, follower.Snapshot, links, m)
-	follower.ShowSelf(n.announceConfig(incarnation).Host)
+	follower.SetSelfAnnouncement(n.announceConfig(incarnation).Host)
 	view := hostView{self: n.cfg.Node.ID, snapshot: follower.Snapshot, links: links}
 	if n.announced = n.registry(a, follower, incarnation); n.announced != nil {
 		egressOptions = append(egressOptions, egress.WithRegistry(n.announced))
 	}
 	d := director.New(director.Config{
-		Host: n.cfg.Node.ID, Hall: n.cfg.Node.Hall, Choosers: func() []string { return follower.Snapshot().HallHosts },
-		RegionOf: func(hall string) string { return follower.Snapshot().RegionOf(hall) },
-		Distance: hallDistance, Ejection: n.ejection(),
+		Host: n.cfg.Node.ID, Hall: n.cfg.Node.Hall, HallHosts: func() []string { return follower.Snapshot().HallHosts },
+		RegionOf:     func(hall string) string { return follower.Snapshot().RegionOf(hall) },
+		InterHallRTT: hallDistance, Ejection: n.ejection(),
 	}, n.log, follower.State, view.leaving, view.usable)
 	e = egress.New(n.egressConfig(incarnation), n.log, follower.State, egressOptions...)
 	links.Handle(handler{Egress: e, follower: follower, limits: limits, keeper: keeper})
-	g := ingress.New(n.ingressConfig(incarnation), n.log, follower.Snapshot, d, links, e, m, ingress.WithConfirm(follower.Confirm),
-		ingress.WithLimits(limits), ingress.WithFatal(keeper), ingress.WithBudget(n.budget))
+	g := ingress.New(n.ingressConfig(incarnation), n.log, follower.Snapshot, d, links, e, m, ingress.WithNewestConfigCheck(follower.Confirm),
+		ingress.WithLimits(limits), ingress.WithCrashCounter(keeper), ingress.WithBudget(n.budget))
 	n.kernel.Register(Announcer, a)
 	n.kernel.Register(Keeper, keeper)
 	n.kernel.Register(Reaper, announce.NewReaper(n.cfg.Node.ID, n.cfg.Peers.GoneAfter.Std(), n.cfg.Platform.Timeout.Std(),
@@ -184,7 +184,7 @@
 // register registers the parts and the listeners, in the order in which they start.
 func (n *Node) register(
 	links *peer.Manager, f *configsync.Follower, d *director.Director, e *egress.Egress, g *ingress.Ingress,
-	caps *ratelimit.Allowance, m *metrics.Metrics, calls *storeCalls, keeper *quarantine.Keeper,
+	caps *ratelimit.Limiter, m *metrics.Metrics, calls *storeCalls, keeper *quarantine.Tracker,
 ) {
 	o := operator.New(n.cfg.Node.ID, n.cfg.Node.Hall, string(n.cfg.Operators.Token), f.Snapshot, f.Reads, e, d, links, caps, n.leftOut,
 		m.Handler())
@@ -207,7 +207,7 @@
 	n.kernel.Register(Ingress, g)
 	callers := pipeline.New(Callers, n.cfg.Callers.Listen.String(), n.callerLimits(f.State), g,
 		ingress.RefuseUnread(n.contract()))
-	callers.HoldBodies(func(h http.Header) *memory.Hold { return n.budget.Hold(g.Payer(h)) })
+	callers.HoldBodies(func(h http.Header) *memory.Reservation { return n.budget.NewReservation(g.CustomerOf(h)) })
 	callers.OnPanic(func(value any, stack []byte) {
 		events.HandlerPanicked.Log(n.log).Any("value", value).Bytes("stack", stack).Send()
 	})
@@ -228,7 +228,7 @@
 	r := registry.New(n.cfg.Node.ID, n.cfg.Node.Hall, n.log, func(endpoints []table.Announced) {
 		line := self
 		line.Endpoints = endpoints
-		f.ShowSelf(line)
+		f.SetSelfAnnouncement(line)
 		a.Announce(endpoints)
 	})
 	bad := func(key string, err error) {
@@ -257,17 +257,17 @@
 type handler struct {
 	*egress.Egress
 	follower *configsync.Follower
-	limits   *ratelimit.Allowance
-	keeper   *quarantine.Keeper
+	limits   *ratelimit.Limiter
+	keeper   *quarantine.Tracker
 }
 
 // Ended implements peer.Handler.
-func (h handler) Ended(word *peerpb.Ended) { h.keeper.Ended(word) }
+func (h handler) Ended(word *peerpb.Ended) { h.keeper.HandleReport(word) }
 
 // Lend implements peer.Handler.
 func (h handler) Lend(customer string, want int) (granted int, wait time.Duration) {
-	loan := h.limits.Lend(customer, want)
-	return loan.Granted, loan.Wait
+	loan := h.limits.Grant(customer, want)
+	return loan.Count, loan.RetryDelay
 }
 
 // Confirm implements peer.Handler.
--- a/node/sampler.go
+++ b/node/sampler.go
@@ -34,7 +34,7 @@
 	// events is nil where the log is not counted.
 	events eventCounter
 	calls  *storeCalls
-	keeper *quarantine.Keeper
+	keeper *quarantine.Tracker
 	budget *memory.Budget
 	log    *zerolog.Logger
 
@@ -89,9 +89,9 @@
 
 // sampleMemory shows what is held of bodies, and tells when there was no room for some.
 func (s *sampler) sampleMemory() {
-	use := s.budget.Use()
+	use := s.budget.Usage()
 	s.metrics.Gauge("bodies_bytes", float64(use.Used))
-	s.metrics.Gauge("bodies_most_bytes", float64(use.Most))
+	s.metrics.Gauge("bodies_most_bytes", float64(use.Peak))
 	s.metrics.Gauge("bodies_refused", float64(use.Refused))
 	if use.Refused == s.refused {
 		return
@@ -140,13 +140,13 @@
 		if e.Trial {
 			trials++
 		}
-		if e.Leaving {
+		if e.Draining {
 			leaving++
 		}
-		first += float64(e.Arrivals.First)
-		further += float64(e.Arrivals.Further)
-		ofFurther += e.Arrivals.OfFurther
-		spent += float64(e.Arrivals.Spent)
+		first += float64(e.Arrivals.FirstSends)
+		further += float64(e.Arrivals.Retries)
+		ofFurther += e.Arrivals.CallsOfRetries
+		spent += float64(e.Arrivals.RetriesRefused)
 	}
 	suspected, barred := s.keeper.Counts()
 	s.metrics.Gauge("fatal_suspected", float64(suspected))
--- a/node/stop.go
+++ b/node/stop.go
@@ -84,7 +84,7 @@
 	if err != nil {
 		return err
 	}
-	g.HandOverUntil(n.grace.until())
+	g.StopDispatchBefore(n.grace.until())
 	callers.Drain()
 	if err := n.withdrawWithEndpoint(); err != nil {
 		return err
@@ -113,7 +113,7 @@
 
 // withdrawWithEndpoint takes the host's line out of the table if the endpoint beside it has left for good, and the host with it.
 func (n *Node) withdrawWithEndpoint() error {
-	if n.announced == nil || n.announced.Known() == 0 || n.announced.Serving() {
+	if n.announced == nil || n.announced.Count() == 0 || n.announced.HasActive() {
 		return nil
 	}
 	a, err := kernel.Lookup[*announce.Announcer](n.kernel, Announcer)
@@ -159,7 +159,7 @@
 // go and never stop sending.
 func (n *Node) awaitCallers(ctx context.Context, callers *pipeline.Server, g *ingress.Ingress) error {
 	callers.Refuse()
-	lost := time.AfterFunc(time.Until(n.grace.until().Add(-lastWords)), g.GiveUpLost)
+	lost := time.AfterFunc(time.Until(n.grace.until().Add(-lastWords)), g.AbandonRecoverable)
 	defer lost.Stop()
 	for told := false; ctx.Err() == nil && callers.Working() > 0; time.Sleep(stopLook) {
 		if told || time.Now().Before(n.grace.until()) {
@@ -182,10 +182,10 @@
 	if err != nil {
 		return err
 	}
-	for _, r := range g.UnderWay() {
+	for _, r := range g.InFlight() {
 		m.StopOutlasted(string(r.Stage), 1)
 		events.RequestOutlasts.Log(n.log).Str("request", r.ID).Str("stage", string(r.Stage)).Str("endpoint", r.Endpoint).
-			Dur("after", r.After).Send()
+			Dur("after", r.Age).Send()
 	}
 	if behind := callers.Behind(); behind > 0 {
 		m.StopOutlasted(stageBehind, int64(behind))
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -119,7 +119,7 @@
 	egress     *egress.Egress
 	director   *director.Director
 	links      Links
-	limits     *ratelimit.Allowance
+	limits     *ratelimit.Limiter
 	leftOut    *skipped.List
 	metrics    http.Handler
 }
@@ -127,7 +127,7 @@
 // New returns the answers of one node; token must come with every request but that for health.
 func New(
 	node, hall, token string, snapshot func() *configsync.Snapshot, reads func() (own, config bool),
-	e *egress.Egress, d *director.Director, l Links, limits *ratelimit.Allowance, leftOut *skipped.List, metrics http.Handler,
+	e *egress.Egress, d *director.Director, l Links, limits *ratelimit.Limiter, leftOut *skipped.List, metrics http.Handler,
 ) *Operator {
 	return &Operator{
 		node: node, hall: hall, token: token, snapshot: snapshot, reads: reads,
@@ -171,7 +171,7 @@
 	snap := o.snapshot()
 	s := Status{
 		Node: o.node, Hall: o.hall, Ready: snap.Ready, Revision: snap.State.Revision(), Hosts: len(snap.Hosts),
-		Process: process(), Keys: o.egress.Keys(), Endpoints: o.egress.Statuses(),
+		Process: process(), Keys: o.egress.KeyCount(), Endpoints: o.egress.Statuses(),
 	}
 	held := snap.State.Revisions()
 	s.Config, s.HostsRevision = held[table.SourceConfig], held[table.SourceHosts]
--- a/pipeline/conn.go
+++ b/pipeline/conn.go
@@ -82,7 +82,7 @@
 		return false
 	}
 	if c.s.refusing.Load() {
-		hold.Free()
+		hold.Release()
 		c.refuse(req.Header, http.StatusServiceUnavailable, fault.New(fault.Draining, "", "the node is stopping"))
 		return false
 	}
@@ -171,11 +171,11 @@
 }
 
 // take queues a request, whose body holds some memory, and starts what may start; false when the connection takes no more.
-func (c *conn) take(req *http.Request, hold *memory.Hold) bool {
+func (c *conn) take(req *http.Request, hold *memory.Reservation) bool {
 	x := c.newExchange(req)
 	x.hold = hold
 	if !c.queue(x) {
-		hold.Free()
+		hold.Release()
 		return false
 	}
 	c.pump()
--- a/pipeline/exchange.go
+++ b/pipeline/exchange.go
@@ -22,7 +22,7 @@
 	req    *http.Request
 	header http.Header
 	// hold is what the request's body holds of the node's memory, nil for nothing.
-	hold *memory.Hold
+	hold *memory.Reservation
 	// started is set once the request runs; the connection's lock guards it.
 	started bool
 	// turn is closed when the answer may be written.
@@ -57,7 +57,7 @@
 // run has the handler answer the request.
 func (x *exchange) run() {
 	defer x.c.s.flight.Done()
-	defer x.hold.Free()
+	defer x.hold.Release()
 	defer func() {
 		r := recover()
 		if r == nil {
--- a/pipeline/request.go
+++ b/pipeline/request.go
@@ -42,7 +42,7 @@
 
 // readRequest reads one request with its whole body, and returns what that holds of the node's memory. Of a failure it returns the status
 // that HTTP gives it, 0 when nobody is there to read an answer.
-func (c *conn) readRequest(limits Limits) (*http.Request, *memory.Hold, int, *fault.Error) {
+func (c *conn) readRequest(limits Limits) (*http.Request, *memory.Reservation, int, *fault.Error) {
 	c.readUntil(time.Now().Add(limits.HeaderTimeout))
 	req, err := http.ReadRequest(c.r)
 	if err != nil {
@@ -57,7 +57,7 @@
 	hold := c.s.hold(req.Header)
 	status, bad := c.takeBody(req, hold, limits)
 	if bad != nil {
-		hold.Free()
+		hold.Release()
 		return req, nil, status, bad
 	}
 	c.readUntil(time.Time{})
@@ -67,7 +67,7 @@
 }
 
 // takeBody reads a request's body once there is room for it; a failure is as that of readRequest.
-func (c *conn) takeBody(req *http.Request, hold *memory.Hold, limits Limits) (int, *fault.Error) {
+func (c *conn) takeBody(req *http.Request, hold *memory.Reservation, limits Limits) (int, *fault.Error) {
 	if req.ContentLength > 0 && !hold.Grow(int(req.ContentLength)) {
 		return http.StatusServiceUnavailable, memorySpent()
 	}
@@ -139,7 +139,7 @@
 }
 
 // readBody reads the whole body; each part must come within the header's time. Room for a body that states no length is taken as it comes.
-func (c *conn) readBody(req *http.Request, hold *memory.Hold, limits Limits) ([]byte, int, *fault.Error) {
+func (c *conn) readBody(req *http.Request, hold *memory.Reservation, limits Limits) ([]byte, int, *fault.Error) {
 	if req.ContentLength == 0 {
 		return nil, 0, nil
 	}
--- a/pipeline/script_test.go
+++ b/pipeline/script_test.go
@@ -81,10 +81,10 @@
 		_, _ = io.WriteString(w, string(err.Code))
 	})
 	f.budget = memory.New(1 << 20)
-	f.server.HoldBodies(func(h http.Header) *memory.Hold {
+	f.server.HoldBodies(func(h http.Header) *memory.Reservation {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		return f.budget.Hold(h.Get("Payer"))
+		return f.budget.NewReservation(h.Get("Payer"))
 	})
 	if err := f.server.Start(t.Context()); err != nil {
 		t.Fatal(err)
@@ -170,7 +170,7 @@
 	case "held":
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		return fmt.Sprintf("%d\n", f.budget.Use().Used)
+		return fmt.Sprintf("%d\n", f.budget.Usage().Used)
 	case "refuse":
 		f.server.Refuse()
 	case "drain":
--- a/pipeline/server.go
+++ b/pipeline/server.go
@@ -43,7 +43,7 @@
 	onError ErrorHandler
 	onPanic func(value any, stack []byte)
 	// hold takes room for a request's body, by its header.
-	hold func(h http.Header) *memory.Hold
+	hold func(h http.Header) *memory.Reservation
 
 	listener net.Listener
 	closing  atomic.Bool
@@ -60,7 +60,7 @@
 func New(name, address string, limits func() Limits, handler http.Handler, onError ErrorHandler) *Server {
 	return &Server{
 		name: name, address: address, limits: limits, handler: handler, onError: onError,
-		conns: make(map[*conn]struct{}), onPanic: func(any, []byte) {}, hold: func(http.Header) *memory.Hold { return nil },
+		conns: make(map[*conn]struct{}), onPanic: func(any, []byte) {}, hold: func(http.Header) *memory.Reservation { return nil },
 	}
 }
 
@@ -69,7 +69,7 @@
 
 // HoldBodies has f give the room for a request's body, by its header; a request without room is refused before its body is read. Call it
 // before Start.
-func (s *Server) HoldBodies(f func(h http.Header) *memory.Hold) { s.hold = f }
+func (s *Server) HoldBodies(f func(h http.Header) *memory.Reservation) { s.hold = f }
 
 // Start listens, Unavailable when the address cannot be had.
 func (s *Server) Start(ctx context.Context) error {
@@ -107,7 +107,7 @@
 
 func (s *Server) serve(raw net.Conn) {
 	defer s.open.Add(-1)
-	memory.BoundSocket(raw)
+	memory.LimitSocketBuffers(raw)
 	c := newConn(s, raw)
 	s.mu.Lock()
 	s.conns[c] = struct{}{}
--- a/poison/content.go
+++ b/poison/content.go
@@ -11,38 +11,38 @@
 const contentBytes = 16
 
 // Content is what a request asks for: it stays the same when the request comes again under another id or at another node.
-type Content [contentBytes]byte
+type Fingerprint [contentBytes]byte
 
 // ContentOf returns the content of a request of a customer, "" for none; host is that of its route, which names one host or any.
 //
 // The node at which the request came in does not belong to it, and so neither the address by which the caller found that node, nor the
 // service beside it: whoever repeats it does so anywhere.
-func ContentOf(customer, method, host, target string, body []byte) Content {
+func FingerprintOf(customer, method, host, target string, body []byte) Fingerprint {
 	h := sha256.New()
 	for _, part := range []string{customer, method, strings.ToLower(host), target} {
 		_, _ = io.WriteString(h, part+"\x00")
 	}
 	_, _ = h.Write(body)
 	var sum [sha256.Size]byte
-	return Content(h.Sum(sum[:0])[:contentBytes])
+	return Fingerprint(h.Sum(sum[:0])[:contentBytes])
 }
 
 // Read returns the content that a message carries, false where it carries none.
-func Read(b []byte) (Content, bool) {
+func FingerprintFromBytes(b []byte) (Fingerprint, bool) {
 	if len(b) != contentBytes {
-		return Content{}, false
+		return Fingerprint{}, false
 	}
-	return Content(b), true
+	return Fingerprint(b), true
 }
 
 // String returns the content as logs and rows show it, 22 letters of base64.
-func (c Content) String() string { return base64.RawURLEncoding.EncodeToString(c[:]) }
+func (c Fingerprint) String() string { return base64.RawURLEncoding.EncodeToString(c[:]) }
 
 // Parse reads what String returns, false for anything else.
-func Parse(text string) (Content, bool) {
+func ParseFingerprint(text string) (Fingerprint, bool) {
 	b, err := base64.RawURLEncoding.DecodeString(text)
 	if err != nil {
-		return Content{}, false
+		return Fingerprint{}, false
 	}
-	return Read(b)
+	return FingerprintFromBytes(b)
 }
--- a/poison/fatal_test.go
+++ b/poison/fatal_test.go
@@ -10,27 +10,27 @@
 
 // TestContentOf checks what belongs to a content: nobody's request is taken for another customer's, and no part runs into the next.
 func TestContentOf(t *testing.T) {
-	same := ContentOf("firm-1", "GET", "Desk.example", "/list", []byte("x"))
-	if got, want := ContentOf("firm-1", "GET", "desk.EXAMPLE", "/list", []byte("x")), same; got != want {
+	same := FingerprintOf("firm-1", "GET", "Desk.example", "/list", []byte("x"))
+	if got, want := FingerprintOf("firm-1", "GET", "desk.EXAMPLE", "/list", []byte("x")), same; got != want {
 		t.Errorf("another case of the host: got %v, want %v", got, want)
 	}
-	others := map[string]Content{
-		"customer": ContentOf("firm-2", "GET", "desk.example", "/list", []byte("x")),
-		"method":   ContentOf("firm-1", "PUT", "desk.example", "/list", []byte("x")),
-		"target":   ContentOf("firm-1", "GET", "desk.example", "/list?a", []byte("x")),
-		"body":     ContentOf("firm-1", "GET", "desk.example", "/list", nil),
-		"shift":    ContentOf("firm-1", "GET", "desk.example", "/lis", []byte("tx")),
+	others := map[string]Fingerprint{
+		"customer": FingerprintOf("firm-2", "GET", "desk.example", "/list", []byte("x")),
+		"method":   FingerprintOf("firm-1", "PUT", "desk.example", "/list", []byte("x")),
+		"target":   FingerprintOf("firm-1", "GET", "desk.example", "/list?a", []byte("x")),
+		"body":     FingerprintOf("firm-1", "GET", "desk.example", "/list", nil),
+		"shift":    FingerprintOf("firm-1", "GET", "desk.example", "/lis", []byte("tx")),
 	}
 	for part, got := range others {
 		if got == same {
 			t.Errorf("another %s: got the same content", part)
 		}
 	}
-	if got, ok := Parse(same.String()); !ok || got != same {
+	if got, ok := ParseFingerprint(same.String()); !ok || got != same {
 		t.Errorf("read back: got %v, want %v", got, same)
 	}
 	for _, text := range []string{"", "short", same.String() + "A", "!!!!!!!!!!!!!!!!!!!!!!"} {
-		if got, ok := Parse(text); ok {
+		if got, ok := ParseFingerprint(text); ok {
 			t.Errorf("%q: got %v, want none", text, got)
 		}
 	}
@@ -41,8 +41,8 @@
 	now := time.UnixMilli(1e12)
 	f := table.PoisonRequest{}
 	for i, end := range []string{"a@1", "b@2", "b@2", "c@3"} {
-		f = WithEnds(f, "desk", []string{end}, now)
-		if got, want := Barred(f), i == 3; got != want {
+		f = WithCrashes(f, "desk", []string{end}, now)
+		if got, want := Blocked(f), i == 3; got != want {
 			t.Errorf("barred after %v: got %v, want %v", f.Ends, got, want)
 		}
 		later := now.Add(ForgetAfter + time.Second)
@@ -57,7 +57,7 @@
 
 // TestRecords checks that a row comes back from the store as it was written, and that what no node writes is refused.
 func TestRecords(t *testing.T) {
-	f := WithEnds(table.PoisonRequest{}, "desk", []string{EndOf("e,1", time.UnixMilli(5)), "b@2"}, time.UnixMilli(7))
+	f := WithCrashes(table.PoisonRequest{}, "desk", []string{EndOf("e,1", time.UnixMilli(5)), "b@2"}, time.UnixMilli(7))
 	text, err := Encode(f)
 	if err != nil {
 		t.Fatal(err)
@@ -78,7 +78,7 @@
 	body := make([]byte, 300)
 	b.ReportAllocs()
 	for range b.N {
-		ContentOf("firm-1", "POST", "desk.example", "/booking/12", body)
+		FingerprintOf("firm-1", "POST", "desk.example", "/booking/12", body)
 	}
 }
 
@@ -87,6 +87,6 @@
 	r, now := NewRecent(), time.Now()
 	b.ReportAllocs()
 	for i := range b.N {
-		r.Note(now, Content{byte(i), byte(i >> 8), byte(i >> 16)})
+		r.Note(now, Fingerprint{byte(i), byte(i >> 8), byte(i >> 16)})
 	}
 }
--- a/poison/record.go
+++ b/poison/record.go
@@ -14,12 +14,12 @@
 
 const (
 	// Prefix starts the keys of the rows in the product's own table.
-	Prefix = "fatal/"
+	KeyPrefix = "fatal/"
 	// BarAfter is how many endpoints may end under a request before it is kept from all: what the users bear.
-	BarAfter = 3
+	BlockThreshold = 3
 	// SendOnce is from how many ends on a request that an endpoint may have had is not sent to a second one: the third end must
 	// not come of a second send, and what a sound request loses by it is one further try.
-	SendOnce = 1
+	NoRetryThreshold = 1
 	// ForgetAfter is how long fewer ends are held against a request: a request that ends what runs it comes again within
 	// seconds, and an endpoint ends once in hours.
 	ForgetAfter = 10 * time.Minute
@@ -40,7 +40,7 @@
 }
 
 // WithEnds returns what is known of a request after more endpoints have ended; each counts once.
-func WithEnds(f table.PoisonRequest, service string, ends []string, at time.Time) table.PoisonRequest {
+func WithCrashes(f table.PoisonRequest, service string, ends []string, at time.Time) table.PoisonRequest {
 	list := f.Ends.List()
 	for _, end := range ends {
 		if len(list) < mostEnds && !slices.Contains(list, end) {
@@ -54,17 +54,17 @@
 }
 
 // Barred tells whether a request is kept from all endpoints.
-func Barred(f table.PoisonRequest) bool { return len(f.Ends.List()) >= BarAfter }
+func Blocked(f table.PoisonRequest) bool { return len(f.Ends.List()) >= BlockThreshold }
 
 // Forgotten tells whether what is known of a request no longer counts.
 //
 // Invariant: a request that is barred stays so until an operator lifts it.
 func Forgotten(f table.PoisonRequest, now time.Time) bool {
-	return !Barred(f) && now.Sub(f.At.Time()) > ForgetAfter
+	return !Blocked(f) && now.Sub(f.At.Time()) > ForgetAfter
 }
 
 // KeyOf returns the key of a content's row in the store.
-func KeyOf(c Content) string { return Prefix + c.String() }
+func KeyOf(c Fingerprint) string { return KeyPrefix + c.String() }
 
 // Encode returns what the store keeps of a request.
 func Encode(f table.PoisonRequest) ([]byte, error) {
@@ -90,12 +90,12 @@
 
 // RowOf returns the row of a record of the store, or its removal; BadRow for what no node has written.
 func RowOf(rec platform.Record) (table.Row, error) {
-	key := strings.TrimPrefix(rec.Key, Prefix)
+	key := strings.TrimPrefix(rec.Key, KeyPrefix)
 	meta := table.Meta{Version: rec.Version, Revision: rec.Version, Source: table.SourcePoison}
 	if rec.Deleted {
 		return table.Row{Kind: table.KindPoison, Key: key, Meta: meta, Deleted: true}, nil
 	}
-	if _, ok := Parse(key); !ok {
+	if _, ok := ParseFingerprint(key); !ok {
 		return table.Row{}, fault.New(fault.BadRow, rec.Key, "want a content as the key")
 	}
 	f, err := Decode(rec)
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -36,7 +36,7 @@
 			f := drawnFleet(uint64(seed), least, most, d)
 			broken := false
 			for c, late := range f.late {
-				if late > poison.BarAfter {
+				if late > poison.BlockThreshold {
 					broken = true
 					out += fmt.Sprintf("seed %d: %d begin past the bound\n", seed, late)
 				}
@@ -63,9 +63,9 @@
 	random := rand.New(rand.NewPCG(seed, 7))
 	f := newSimFleet(random, least+random.IntN(most-least+1))
 	f.alone = d.HasArg("alone")
-	var contents []poison.Content
+	var contents []poison.Fingerprint
 	for i := range 1 + random.IntN(10) {
-		contents = append(contents, poison.ContentOf("", "GET", "", fmt.Sprint(i), nil))
+		contents = append(contents, poison.FingerprintOf("", "GET", "", fmt.Sprint(i), nil))
 	}
 	every := 50 + random.IntN(950)
 	for f.now < 30*time.Second {
--- a/quarantine/innocent_test.go
+++ b/quarantine/innocent_test.go
@@ -13,7 +13,7 @@
 
 // simWork is one request under way at an endpoint.
 type simWork struct {
-	content poison.Content
+	content poison.Fingerprint
 	ends    time.Duration
 }
 
@@ -68,14 +68,14 @@
 		if f.random.IntN(5) == 0 {
 			name = fmt.Sprint("common ", f.random.IntN(common))
 		}
-		f.ask(poison.ContentOf("", "GET", "", name, nil), 0)
+		f.ask(poison.FingerprintOf("", "GET", "", name, nil), 0)
 		f.step()
 		f.finish()
 	}
 }
 
 // ask has a caller ask for something at some node, which sends it to some endpoint.
-func (f *innocentDay) ask(c poison.Content, again int) {
+func (f *innocentDay) ask(c poison.Fingerprint, again int) {
 	f.asked++
 	n, to := f.nodes[f.random.IntN(len(f.nodes))], f.nodes[f.random.IntN(len(f.nodes))]
 	if !f.reaches(n) || !f.reaches(to) || to.down > f.now {
@@ -137,7 +137,7 @@
 }
 
 // ranHere has a node that has seen a content run well say so.
-func (f *innocentDay) ranHere(n *simNode, c poison.Content) bool {
+func (f *innocentDay) ranHere(n *simNode, c poison.Fingerprint) bool {
 	if !f.recent(n).Within(f.time(), c, ranWithin) {
 		return false
 	}
@@ -147,7 +147,7 @@
 }
 
 // tellRan tells some others, who pass on what is news to them.
-func (f *innocentDay) tellRan(n *simNode, c poison.Content, most int) {
+func (f *innocentDay) tellRan(n *simNode, c poison.Fingerprint, most int) {
 	for range most {
 		to := f.nodes[f.random.IntN(len(f.nodes))]
 		if !f.reaches(n) || f.random.IntN(20) == 0 {
@@ -163,7 +163,7 @@
 }
 
 // cleared has a node take out the row of what ran well, unless that says more by then.
-func (f *innocentDay) cleared(n *simNode, c poison.Content) {
+func (f *innocentDay) cleared(n *simNode, c poison.Fingerprint) {
 	n.known.lift(c, n.known.of(c))
 	version := n.known.rows[c].Version
 	if version == 0 || f.away > f.now {
