--- a/quarantine/keeper.go
+++ b/quarantine/keeper.go
@@ -40,20 +40,20 @@
 	// Host is this node's host.
 	Host string
 	// Retry is the time between two tries of a write while the platform fails, RetryMost what it doubles up to.
-	Retry, RetryMost time.Duration
+	RetryInterval, MaxRetryInterval time.Duration
 	// Timeout bounds one write.
 	Timeout time.Duration
 }
 
 // Keeper knows which requests end endpoints; it is a kernel component, and safe for concurrent use.
-type Keeper struct {
+type Tracker struct {
 	cfg      Config
 	log      *zerolog.Logger
 	links    Links
 	snapshot func() *configsync.Snapshot
 	table    changes.Table
 	// ends is how many ends are known of each content; nobody asks anything else on the way of a request.
-	ends atomic.Pointer[map[poison.Content]int]
+	ends atomic.Pointer[map[poison.Fingerprint]int]
 	wake chan struct{}
 	stop context.CancelFunc
 	done chan struct{}
@@ -63,24 +63,24 @@
 	// ran are the contents that ran well lately, own those that it is up to this node to write, clear those whose rows it is to take
 	// out, with since when: what came later stands.
 	ran   *poison.Recent
-	own   map[poison.Content]bool
-	clear map[poison.Content]time.Time
+	own   map[poison.Fingerprint]bool
+	clear map[poison.Fingerprint]time.Time
 	// revision is that of the rows that are known.
 	revision uint64
 }
 
 // New returns a keeper that knows nothing.
-func New(cfg Config, log *zerolog.Logger, t changes.Table, links Links, snapshot func() *configsync.Snapshot) *Keeper {
-	k := &Keeper{
+func New(cfg Config, log *zerolog.Logger, t changes.Table, links Links, snapshot func() *configsync.Snapshot) *Tracker {
+	k := &Tracker{
 		cfg: cfg, log: log, table: t, links: links, snapshot: snapshot, wake: make(chan struct{}, 1), done: make(chan struct{}),
-		known: newKnown(), ran: poison.NewRecent(), own: make(map[poison.Content]bool), clear: make(map[poison.Content]time.Time),
+		known: newKnown(), ran: poison.NewRecent(), own: make(map[poison.Fingerprint]bool), clear: make(map[poison.Fingerprint]time.Time),
 	}
-	k.ends.Store(&map[poison.Content]int{})
+	k.ends.Store(&map[poison.Fingerprint]int{})
 	return k
 }
 
 // Start keeps the rows as they should be.
-func (k *Keeper) Start(context.Context) error {
+func (k *Tracker) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	k.stop = cancel
 	go k.run(ctx)
@@ -88,22 +88,22 @@
 }
 
 // Stop ends the writing.
-func (k *Keeper) Stop(context.Context) error {
+func (k *Tracker) Stop(context.Context) error {
 	k.stop()
 	<-k.done
 	return nil
 }
 
 // Ends returns how many endpoints are known to have ended under a content.
-func (k *Keeper) Ends(c poison.Content) int { return (*k.ends.Load())[c] }
+func (k *Tracker) Ends(c poison.Fingerprint) int { return (*k.ends.Load())[c] }
 
 // Barred tells whether a content is kept from all endpoints.
-func (k *Keeper) Barred(c poison.Content) bool { return k.Ends(c) >= poison.BarAfter }
+func (k *Tracker) Barred(c poison.Fingerprint) bool { return k.Ends(c) >= poison.BlockThreshold }
 
 // Counts returns how many contents are suspected and how many are barred.
-func (k *Keeper) Counts() (suspected, barred int) {
+func (k *Tracker) Counts() (suspected, barred int) {
 	for _, n := range *k.ends.Load() {
-		if n >= poison.BarAfter {
+		if n >= poison.BlockThreshold {
 			barred++
 		} else {
 			suspected++
@@ -113,8 +113,8 @@
 }
 
 // Ran notes that an endpoint beside this node ran a content to a good end: whatever ended others, it was not this.
-func (k *Keeper) Ran(c poison.Content) {
-	if c == (poison.Content{}) {
+func (k *Tracker) Ran(c poison.Fingerprint) {
+	if c == (poison.Fingerprint{}) {
 		return
 	}
 	k.mu.Lock()
@@ -127,7 +127,7 @@
 }
 
 // acquit takes it that a content ran well: whatever ended endpoints, it was not this. The lock is held.
-func (k *Keeper) acquit(now time.Time, c poison.Content) {
+func (k *Tracker) acquit(now time.Time, c poison.Fingerprint) {
 	if k.known.of(c).Ends == "" {
 		return
 	}
@@ -139,13 +139,13 @@
 }
 
 // hearRan takes a peer's word that contents ran well, and passes on what of it is news.
-func (k *Keeper) hearRan(word *peerpb.Ended) {
+func (k *Tracker) hearRan(word *peerpb.Ended) {
 	now, hosts := time.Now(), k.snapshot().Hosts
 	next := &peerpb.Ended{Ran: true}
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, b := range word.GetContents() {
-		c, ok := poison.Read(b)
+		c, ok := poison.FingerprintFromBytes(b)
 		if !ok || !k.known.lift(c, k.known.of(c)) {
 			continue
 		}
@@ -162,13 +162,13 @@
 }
 
 // EndedHere takes it that the endpoint beside this node ended while it ran some contents.
-func (k *Keeper) EndedHere(endpoint, service string, contents []poison.Content) {
+func (k *Tracker) EndedHere(endpoint, service string, contents []poison.Fingerprint) {
 	now := time.Now()
 	end := poison.EndOf(endpoint, now)
 	word := &peerpb.Ended{End: end, Service: service, AtMillis: now.UnixMilli()}
 	k.mu.Lock()
 	for _, c := range contents {
-		if c == (poison.Content{}) || k.ran.Within(now, c, ranWithin) || !k.known.hear(now, c, service, end, now) {
+		if c == (poison.Fingerprint{}) || k.ran.Within(now, c, ranWithin) || !k.known.hear(now, c, service, end, now) {
 			continue
 		}
 		k.own[c] = true
@@ -183,7 +183,7 @@
 }
 
 // Ended takes a peer's word of an endpoint that ended, and passes on what of it is news.
-func (k *Keeper) Ended(word *peerpb.Ended) {
+func (k *Tracker) HandleReport(word *peerpb.Ended) {
 	if len(word.GetContents()) > mostContents {
 		return
 	}
@@ -199,7 +199,7 @@
 	next := &peerpb.Ended{End: word.GetEnd(), Service: word.GetService(), AtMillis: word.GetAtMillis()}
 	k.mu.Lock()
 	for _, b := range word.GetContents() {
-		c, ok := poison.Read(b)
+		c, ok := poison.FingerprintFromBytes(b)
 		if !ok || !k.known.hear(now, c, word.GetService(), word.GetEnd(), at) {
 			continue
 		}
@@ -219,7 +219,7 @@
 }
 
 // Observe takes a new snapshot in force.
-func (k *Keeper) Observe(snap *configsync.Snapshot) {
+func (k *Tracker) Observe(snap *configsync.Snapshot) {
 	revision := snap.State.Revisions()[table.SourcePoison]
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -227,9 +227,9 @@
 		return
 	}
 	k.revision = revision
-	rows := make(map[poison.Content]table.Entry[table.PoisonRequest])
+	rows := make(map[poison.Fingerprint]table.Entry[table.PoisonRequest])
 	snap.State.PoisonRequests(func(e table.Entry[table.PoisonRequest]) {
-		if c, ok := poison.Parse(e.Key); ok {
+		if c, ok := poison.ParseFingerprint(e.Key); ok {
 			rows[c] = e
 		}
 	})
@@ -239,18 +239,18 @@
 }
 
 // publish shows the node's other parts what is known now, and logs what is barred from now on; the lock is held.
-func (k *Keeper) publish() {
+func (k *Tracker) publish() {
 	ends := k.known.ends()
 	old := *k.ends.Load()
 	for c, n := range ends {
-		if n >= poison.BarAfter && old[c] < poison.BarAfter {
+		if n >= poison.BlockThreshold && old[c] < poison.BlockThreshold {
 			f := k.known.of(c)
 			events.RequestBarred.Log(k.log).Stringer("content", c).Str("service", f.Service).
 				Strs("ends", f.Ends.List()).Time("at", f.At.Time()).Send()
 		}
 	}
 	for c, n := range old {
-		if _, ok := ends[c]; !ok && n >= poison.BarAfter {
+		if _, ok := ends[c]; !ok && n >= poison.BlockThreshold {
 			events.RequestLifted.Log(k.log).Stringer("content", c).Send()
 		}
 	}
@@ -258,7 +258,7 @@
 }
 
 // poke has the rows brought up to date.
-func (k *Keeper) poke() {
+func (k *Tracker) poke() {
 	select {
 	case k.wake <- struct{}{}:
 	default:
--- a/quarantine/keeper_test.go
+++ b/quarantine/keeper_test.go
@@ -21,8 +21,8 @@
 type hall struct {
 	store *store.Store
 	mu    sync.Mutex
-	all   []*Keeper
-	deaf  map[*Keeper]bool
+	all   []*Tracker
+	deaf  map[*Tracker]bool
 	// words counts what was told.
 	words int
 }
@@ -30,7 +30,7 @@
 // ear is one keeper's links.
 type ear struct {
 	h    *hall
-	self **Keeper
+	self **Tracker
 }
 
 // TellEnded implements Links.
@@ -40,21 +40,21 @@
 	e.h.words++
 	for i, k := range e.h.all {
 		if k != *e.self && !e.h.deaf[k] && (most < 0 || i < most) {
-			go k.Ended(word)
+			go k.HandleReport(word)
 		}
 	}
 }
 
 func newHall(t *testing.T, keepers int) *hall {
 	t.Helper()
-	h := &hall{store: store.New(), deaf: make(map[*Keeper]bool)}
+	h := &hall{store: store.New(), deaf: make(map[*Tracker]bool)}
 	log := zerolog.Nop()
 	snap := &configsync.Snapshot{State: table.NewState()}
 	for i := range keepers {
 		host := fmt.Sprint("h", i)
 		snap.Hosts = append(snap.Hosts, table.HostInfo{ID: host})
-		var k *Keeper
-		cfg := Config{Host: host, Retry: 10 * time.Millisecond, RetryMost: 50 * time.Millisecond, Timeout: time.Second}
+		var k *Tracker
+		cfg := Config{Host: host, RetryInterval: 10 * time.Millisecond, MaxRetryInterval: 50 * time.Millisecond, Timeout: time.Second}
 		k = New(cfg, &log, store.NewLocal(h.store), ear{h, &k}, func() *configsync.Snapshot { return snap })
 		h.all = append(h.all, k)
 		if err := k.Start(t.Context()); err != nil {
@@ -68,7 +68,7 @@
 // rows reads what the store holds.
 func (h *hall) rows(t *testing.T) []platform.Record {
 	t.Helper()
-	recs, err := store.NewLocal(h.store).Scan(t.Context(), poison.Prefix, "", 100)
+	recs, err := store.NewLocal(h.store).Scan(t.Context(), poison.KeyPrefix, "", 100)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,7 +76,7 @@
 }
 
 // show brings what the store holds to a keeper, as a snapshot in force does.
-func (h *hall) show(t *testing.T, k *Keeper) {
+func (h *hall) show(t *testing.T, k *Tracker) {
 	t.Helper()
 	d := table.Delta{Source: table.SourcePoison, Full: true, To: uint64(time.Now().UnixNano())}
 	for _, rec := range h.rows(t) {
@@ -116,18 +116,18 @@
 	})
 }
 
-var deadly = poison.ContentOf("", "GET", "", "/deadly", nil)
+var deadly = poison.FingerprintOf("", "GET", "", "/deadly", nil)
 
 // TestEndsAddUp has the endpoints beside three nodes end under one content, two of them at the same moment: each node knows of all by
 // word, the store keeps all, and a node that starts anew knows it from there.
 func TestEndsAddUp(t *testing.T) {
 	h := newHall(t, 4)
-	h.all[0].EndedHere("e0", "docket-desk", []poison.Content{deadly})
+	h.all[0].EndedHere("e0", "docket-desk", []poison.Fingerprint{deadly})
 	for _, k := range h.all {
 		eventually(t, "word of one end", func() bool { return k.Ends(deadly) == 1 })
 	}
-	go h.all[1].EndedHere("e1", "docket-desk", []poison.Content{deadly})
-	h.all[2].EndedHere("e2", "docket-desk", []poison.Content{deadly})
+	go h.all[1].EndedHere("e1", "docket-desk", []poison.Fingerprint{deadly})
+	h.all[2].EndedHere("e2", "docket-desk", []poison.Fingerprint{deadly})
 	for _, k := range h.all {
 		eventually(t, "word of three ends", func() bool { return k.Barred(deadly) })
 	}
@@ -145,7 +145,7 @@
 func TestWordsEnd(t *testing.T) {
 	h := newHall(t, 5)
 	for i := range 40 {
-		h.all[i%5].EndedHere(fmt.Sprint("e", i), "docket-desk", []poison.Content{deadly})
+		h.all[i%5].EndedHere(fmt.Sprint("e", i), "docket-desk", []poison.Fingerprint{deadly})
 	}
 	eventually(t, "barred everywhere", func() bool {
 		for _, k := range h.all {
@@ -178,7 +178,7 @@
 func TestPlatformAway(t *testing.T) {
 	h := newHall(t, 2)
 	h.store.SetFaults(store.Faults{Down: true})
-	h.all[0].EndedHere("e0", "docket-desk", []poison.Content{deadly})
+	h.all[0].EndedHere("e0", "docket-desk", []poison.Fingerprint{deadly})
 	eventually(t, "word", func() bool { return h.all[1].Ends(deadly) == 1 })
 	h.store.SetFaults(store.Faults{LoseReplies: 2})
 	h.endsIn(t, 1)
@@ -188,7 +188,7 @@
 func TestWriterIsGone(t *testing.T) {
 	h := newHall(t, 3)
 	h.store.SetFaults(store.Faults{Down: true})
-	h.all[0].EndedHere("e0", "docket-desk", []poison.Content{deadly})
+	h.all[0].EndedHere("e0", "docket-desk", []poison.Fingerprint{deadly})
 	eventually(t, "word", func() bool { return h.all[1].Ends(deadly) == 1 && h.all[2].Ends(deadly) == 1 })
 	if err := h.all[0].Stop(t.Context()); err != nil {
 		t.Fatal(err)
@@ -201,7 +201,7 @@
 // before: neither is held against it, nowhere.
 func TestWhatRanWellIsCleared(t *testing.T) {
 	h := newHall(t, 3)
-	h.all[0].EndedHere("e0", "docket-desk", []poison.Content{deadly})
+	h.all[0].EndedHere("e0", "docket-desk", []poison.Fingerprint{deadly})
 	h.endsIn(t, 1)
 	for _, k := range h.all {
 		h.show(t, k)
@@ -212,10 +212,10 @@
 	}
 	eventually(t, "row taken out", func() bool { return len(h.rows(t)) == 0 })
 
-	popular := poison.ContentOf("", "GET", "", "/popular", nil)
+	popular := poison.FingerprintOf("", "GET", "", "/popular", nil)
 	h.all[2].Ran(popular)
 	for i := range 3 {
-		h.all[i%2].EndedHere(fmt.Sprint("e", i), "docket-desk", []poison.Content{popular})
+		h.all[i%2].EndedHere(fmt.Sprint("e", i), "docket-desk", []poison.Fingerprint{popular})
 	}
 	for _, k := range h.all {
 		eventually(t, "cleared by who saw it run", func() bool { return k.Ends(popular) == 0 })
@@ -232,7 +232,7 @@
 	}
 	k := h.all[0]
 	for _, w := range words {
-		k.Ended(w)
+		k.HandleReport(w)
 	}
 	h.endsIn(t, 3)
 	h.show(t, k)
@@ -245,12 +245,12 @@
 		t.Errorf("ends after it was lifted: got %d, want %d", got, want)
 	}
 	for _, w := range words {
-		k.Ended(w)
+		k.HandleReport(w)
 	}
 	if got, want := k.Ends(deadly), 0; got != want {
 		t.Errorf("ends after late words: got %d, want %d", got, want)
 	}
-	k.EndedHere("e9", "docket-desk", []poison.Content{deadly})
+	k.EndedHere("e9", "docket-desk", []poison.Fingerprint{deadly})
 	if got, want := k.Ends(deadly), 1; got != want {
 		t.Errorf("ends after a new one: got %d, want %d", got, want)
 	}
@@ -271,7 +271,7 @@
 		{End: "a@1", Service: "s", Contents: [][]byte{{1, 2, 3}}},
 		{End: "a@1", Service: "s", Contents: many},
 	} {
-		k.Ended(w)
+		k.HandleReport(w)
 		if got, want := k.Ends(deadly), 0; got != want {
 			t.Errorf("ends after %v: got %d, want %d", w, got, want)
 		}
--- a/quarantine/known.go
+++ b/quarantine/known.go
@@ -24,8 +24,8 @@
 //
 // Invariant: a word that came once never counts again after its row was taken out: lifted is lifted.
 type known struct {
-	rows map[poison.Content]table.Entry[table.PoisonRequest]
-	word map[poison.Content]heard
+	rows map[poison.Fingerprint]table.Entry[table.PoisonRequest]
+	word map[poison.Fingerprint]heard
 	// lifted are the ends that were taken out, oldest first in order.
 	lifted map[end]bool
 	order  []end
@@ -33,20 +33,20 @@
 
 // end is one end of an endpoint under a content, by its name.
 type end struct {
-	content poison.Content
+	content poison.Fingerprint
 	name    string
 }
 
 func newKnown() *known {
 	return &known{
-		rows: make(map[poison.Content]table.Entry[table.PoisonRequest]), word: make(map[poison.Content]heard), lifted: make(map[end]bool),
+		rows: make(map[poison.Fingerprint]table.Entry[table.PoisonRequest]), word: make(map[poison.Fingerprint]heard), lifted: make(map[end]bool),
 	}
 }
 
 // hear takes the word that an endpoint ended at a time while it ran a content, and tells whether that is news: of a content that is barred
 // none is. A row names so many ends and no more; further ones, taken for news, went from hand to hand without end.
-func (k *known) hear(now time.Time, c poison.Content, service, name string, at time.Time) bool {
-	if poison.Barred(k.of(c)) || k.lifted[end{c, name}] || slices.Contains(k.of(c).Ends.List(), name) {
+func (k *known) hear(now time.Time, c poison.Fingerprint, service, name string, at time.Time) bool {
+	if poison.Blocked(k.of(c)) || k.lifted[end{c, name}] || slices.Contains(k.of(c).Ends.List(), name) {
 		return false
 	}
 	if _, ok := k.word[c]; !ok && len(k.word) >= mostHeard {
@@ -56,14 +56,14 @@
 	if !ok {
 		h.since = now
 	}
-	h.PoisonRequest = poison.WithEnds(h.PoisonRequest, service, []string{name}, at)
+	h.PoisonRequest = poison.WithCrashes(h.PoisonRequest, service, []string{name}, at)
 	k.word[c] = h
 	return true
 }
 
 // dropOldest makes room for another word.
 func (k *known) dropOldest() {
-	var oldest poison.Content
+	var oldest poison.Fingerprint
 	first := true
 	for c, h := range k.word {
 		if first || h.At < k.word[oldest].At {
@@ -74,7 +74,7 @@
 }
 
 // of returns all that is known of a content; the ends that were lifted do not count, though its row may still be there.
-func (k *known) of(c poison.Content) table.PoisonRequest {
+func (k *known) of(c poison.Fingerprint) table.PoisonRequest {
 	row, word := k.rows[c].Value, k.word[c].PoisonRequest
 	if held := row.Ends.List(); slices.ContainsFunc(held, func(name string) bool { return k.lifted[end{c, name}] }) {
 		row.Ends = table.NamesOf(slices.DeleteFunc(held, func(name string) bool { return k.lifted[end{c, name}] }))
@@ -82,18 +82,18 @@
 	if word.Ends == "" {
 		return row
 	}
-	return poison.WithEnds(row, word.Service, word.Ends.List(), word.At.Time())
+	return poison.WithCrashes(row, word.Service, word.Ends.List(), word.At.Time())
 }
 
 // show takes the rows in force.
-func (k *known) show(rows map[poison.Content]table.Entry[table.PoisonRequest]) {
+func (k *known) show(rows map[poison.Fingerprint]table.Entry[table.PoisonRequest]) {
 	for c, row := range k.rows {
 		if _, ok := rows[c]; !ok {
 			k.lift(c, row.Value)
 		}
 	}
 	k.rows = rows
-	maps.DeleteFunc(k.word, func(c poison.Content, h heard) bool { return tells(rows[c].Value, h) })
+	maps.DeleteFunc(k.word, func(c poison.Fingerprint, h heard) bool { return tells(rows[c].Value, h) })
 }
 
 // tells tells whether a row holds all that was heard.
@@ -103,7 +103,7 @@
 }
 
 // lift forgets a content for good, late words of these ends change nothing, and tells whether that is news.
-func (k *known) lift(c poison.Content, f table.PoisonRequest) (news bool) {
+func (k *known) lift(c poison.Fingerprint, f table.PoisonRequest) (news bool) {
 	for _, name := range slices.Concat(f.Ends.List(), k.word[c].Ends.List()) {
 		e := end{c, name}
 		if !k.lifted[e] {
@@ -127,12 +127,12 @@
 
 // forget drops what no longer counts by word alone.
 func (k *known) forget(now time.Time) {
-	maps.DeleteFunc(k.word, func(_ poison.Content, h heard) bool { return poison.Forgotten(h.PoisonRequest, now) })
+	maps.DeleteFunc(k.word, func(_ poison.Fingerprint, h heard) bool { return poison.Forgotten(h.PoisonRequest, now) })
 }
 
 // ends returns how many ends are known of each content.
-func (k *known) ends() map[poison.Content]int {
-	out := make(map[poison.Content]int, len(k.rows)+len(k.word))
+func (k *known) ends() map[poison.Fingerprint]int {
+	out := make(map[poison.Fingerprint]int, len(k.rows)+len(k.word))
 	for c := range k.rows {
 		out[c] = len(k.of(c).Ends.List())
 	}
--- a/quarantine/sim_test.go
+++ b/quarantine/sim_test.go
@@ -33,7 +33,7 @@
 // simNode is one node with the endpoint beside it.
 type simNode struct {
 	known *known
-	own   map[poison.Content]bool
+	own   map[poison.Fingerprint]bool
 	// down is until when the endpoint is gone, frozen and cut until when the node stands still and reaches nobody, quiet since when
 	// nothing has disturbed it.
 	down, frozen, cut, quiet time.Duration
@@ -48,19 +48,19 @@
 	now    time.Duration
 	later  []simEvent
 	// store is the rows, away until when the store says nothing, stable since when it does.
-	store   map[poison.Content]table.Entry[table.PoisonRequest]
+	store   map[poison.Fingerprint]table.Entry[table.PoisonRequest]
 	away    time.Duration
 	stable  time.Duration
 	version uint64
 	// states counts the states of the rows.
 	states uint64
 	// object tells whether a node that hears of a content has seen it run well, and then says so.
-	object func(n *simNode, c poison.Content) bool
+	object func(n *simNode, c poison.Fingerprint) bool
 	// alone has each node count for itself, as a way to compare with.
 	alone bool
 	// ends are the times at which endpoints ended under each content, late how many began it past the bound.
-	ends map[poison.Content][]time.Duration
-	late map[poison.Content]int
+	ends map[poison.Fingerprint][]time.Duration
+	late map[poison.Fingerprint]int
 	ran  int
 	// named counts the ends that were told.
 	named int
@@ -73,11 +73,11 @@
 
 func newSimFleet(random *rand.Rand, nodes int) *simFleet {
 	f := &simFleet{
-		random: random, store: make(map[poison.Content]table.Entry[table.PoisonRequest]),
-		ends: make(map[poison.Content][]time.Duration), late: make(map[poison.Content]int),
+		random: random, store: make(map[poison.Fingerprint]table.Entry[table.PoisonRequest]),
+		ends: make(map[poison.Fingerprint][]time.Duration), late: make(map[poison.Fingerprint]int),
 	}
 	for range nodes {
-		f.nodes = append(f.nodes, &simNode{known: newKnown(), own: make(map[poison.Content]bool)})
+		f.nodes = append(f.nodes, &simNode{known: newKnown(), own: make(map[poison.Fingerprint]bool)})
 	}
 	return f
 }
@@ -107,10 +107,12 @@
 func (f *simFleet) reaches(n *simNode) bool { return f.up(n) && n.cut <= f.now }
 
 // barred tells whether a node keeps a content from all.
-func (f *simFleet) barred(n *simNode, c poison.Content) bool { return poison.Barred(n.known.of(c)) }
+func (f *simFleet) barred(n *simNode, c poison.Fingerprint) bool {
+	return poison.Blocked(n.known.of(c))
+}
 
 // arrive brings a request to a node, which sends it to endpoints of others or its own.
-func (f *simFleet) arrive(n *simNode, c poison.Content) {
+func (f *simFleet) arrive(n *simNode, c poison.Fingerprint) {
 	if !f.up(n) || f.barred(n, c) {
 		return
 	}
@@ -118,7 +120,7 @@
 }
 
 // send hands the request to a free endpoint; once that has ended it goes to a second one, if the policy allows.
-func (f *simFleet) send(n *simNode, c poison.Content, sent int) {
+func (f *simFleet) send(n *simNode, c poison.Fingerprint, sent int) {
 	to := f.nodes[f.random.IntN(len(f.nodes))]
 	if !f.reaches(to) || !f.reaches(n) {
 		to = n
@@ -133,7 +135,7 @@
 			f.ends[c] = append(f.ends[c], f.now)
 			f.after(endSeen, func() { f.ended(to, c) })
 		}
-		if sent == 0 && len(n.known.of(c).Ends.List()) < poison.SendOnce && f.up(n) {
+		if sent == 0 && len(n.known.of(c).Ends.List()) < poison.NoRetryThreshold && f.up(n) {
 			f.send(n, c, 1)
 		}
 	})
@@ -143,17 +145,17 @@
 const endSeen = 60 * time.Millisecond
 
 // begin counts what begins to run past the bound, sent and taken by nodes that nothing has disturbed.
-func (f *simFleet) begin(from, to *simNode, c poison.Content) {
+func (f *simFleet) begin(from, to *simNode, c poison.Fingerprint) {
 	f.ran++
 	ends := f.ends[c]
 	touched := f.now - simTouch
-	if len(ends) >= poison.BarAfter && ends[poison.BarAfter-1] < touched && from.quiet < touched && to.quiet < touched && f.stable < touched {
+	if len(ends) >= poison.BlockThreshold && ends[poison.BlockThreshold-1] < touched && from.quiet < touched && to.quiet < touched && f.stable < touched {
 		f.late[c]++
 	}
 }
 
 // ended has the node beside an endpoint that ended tell the others and write the row.
-func (f *simFleet) ended(n *simNode, c poison.Content) {
+func (f *simFleet) ended(n *simNode, c poison.Fingerprint) {
 	if !f.up(n) {
 		f.after(n.frozen-f.now, func() { f.ended(n, c) })
 		return
@@ -172,7 +174,7 @@
 }
 
 // tell tells some others, who pass on what is news to them; one word in twenty is lost.
-func (f *simFleet) tell(n *simNode, c poison.Content, name string, at time.Time, most int) {
+func (f *simFleet) tell(n *simNode, c poison.Fingerprint, name string, at time.Time, most int) {
 	if !f.reaches(n) {
 		return
 	}
@@ -194,7 +196,7 @@
 }
 
 // write has a node write what it has seen, again and again while the store says nothing.
-func (f *simFleet) write(n *simNode, c poison.Content) {
+func (f *simFleet) write(n *simNode, c poison.Fingerprint) {
 	if f.alone || !n.own[c] {
 		return
 	}
@@ -209,7 +211,7 @@
 		}
 		f.version++
 		row := f.store[c]
-		row.Value = poison.WithEnds(row.Value, word.Service, word.Ends.List(), word.At.Time())
+		row.Value = poison.WithCrashes(row.Value, word.Service, word.Ends.List(), word.At.Time())
 		row.Version = f.version
 		f.store[c] = row
 		delete(n.own, c)
@@ -227,7 +229,7 @@
 }
 
 // show brings rows to a node once it can hear of them.
-func (f *simFleet) show(n *simNode, state uint64, rows map[poison.Content]table.Entry[table.PoisonRequest]) {
+func (f *simFleet) show(n *simNode, state uint64, rows map[poison.Fingerprint]table.Entry[table.PoisonRequest]) {
 	if !f.reaches(n) || f.away > f.now {
 		wait := max(n.frozen, n.cut, f.away) - f.now
 		f.after(wait+time.Duration(f.random.Int64N(int64(simRow))), func() { f.show(n, state, rows) })
@@ -273,7 +275,7 @@
 
 // restart has a node start anew with what the store holds, once that answers.
 func (f *simFleet) restart(n *simNode) {
-	n.known, n.own, n.shown = newKnown(), make(map[poison.Content]bool), 0
+	n.known, n.own, n.shown = newKnown(), make(map[poison.Fingerprint]bool), 0
 	n.frozen = max(f.now+300*time.Millisecond, f.away)
 	f.disturb(n, n.frozen)
 	f.after(n.frozen-f.now, func() {
--- a/quarantine/write.go
+++ b/quarantine/write.go
@@ -26,11 +26,11 @@
 )
 
 // run keeps the rows as they should be until the node stops.
-func (k *Keeper) run(ctx context.Context) {
+func (k *Tracker) run(ctx context.Context) {
 	defer close(k.done)
 	tick := time.NewTicker(lookEvery)
 	defer tick.Stop()
-	failing := retry.Backoff{First: k.cfg.Retry, Most: k.cfg.RetryMost}
+	failing := retry.Backoff{Initial: k.cfg.RetryInterval, Max: k.cfg.MaxRetryInterval}
 	var again <-chan time.Time
 	for {
 		select {
@@ -52,7 +52,7 @@
 }
 
 // tidy drops what no longer counts, and takes it on to write what whoever saw it has not written: that node may be gone.
-func (k *Keeper) tidy(now time.Time) {
+func (k *Tracker) tidy(now time.Time) {
 	hosts := k.snapshot().Hosts
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -60,8 +60,8 @@
 		return
 	}
 	k.known.forget(now)
-	maps.DeleteFunc(k.own, func(c poison.Content, _ bool) bool { return k.known.word[c].Ends == "" })
-	maps.DeleteFunc(k.clear, func(_ poison.Content, at time.Time) bool { return now.Sub(at) > ranWithin })
+	maps.DeleteFunc(k.own, func(c poison.Fingerprint, _ bool) bool { return k.known.word[c].Ends == "" })
+	maps.DeleteFunc(k.clear, func(_ poison.Fingerprint, at time.Time) bool { return now.Sub(at) > ranWithin })
 	for c, row := range k.known.rows {
 		if poison.Forgotten(row.Value, now) && k.rank(c, hosts) == 0 {
 			k.clear[c] = now
@@ -77,7 +77,7 @@
 
 // rank is this node's place among those that tend a content's row, 0 for the first: whatever the size of the fleet few nodes write, one
 // after the other, and two views of who is first cost a write.
-func (k *Keeper) rank(c poison.Content, hosts []table.HostInfo) int {
+func (k *Tracker) rank(c poison.Fingerprint, hosts []table.HostInfo) int {
 	place := func(host string) uint64 { return xxhash.Sum64String(host + "\x00" + string(c[:])) }
 	own, before := place(k.cfg.Host), 0
 	for _, h := range hosts {
@@ -90,7 +90,7 @@
 
 // edit is one row as it should be.
 type edit struct {
-	content poison.Content
+	content poison.Fingerprint
 	// value is what is known of it, gone is set to take it out.
 	value table.PoisonRequest
 	gone  bool
@@ -99,7 +99,7 @@
 }
 
 // edits returns what is to be written now.
-func (k *Keeper) edits() []edit {
+func (k *Tracker) edits() []edit {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var out []edit
@@ -121,7 +121,7 @@
 //
 // Invariant: each write names the version of the row that it replaces, and holds every end that the row held: none is lost, and a
 // write that the store does late undoes nothing.
-func (k *Keeper) write(ctx context.Context) error {
+func (k *Tracker) write(ctx context.Context) error {
 	edits := k.edits()
 	for range mostMerges {
 		if len(edits) == 0 {
@@ -139,10 +139,10 @@
 			return err
 		}
 	}
-	return fault.New(fault.Conflict, poison.Prefix, "rows were written by others again and again")
+	return fault.New(fault.Conflict, poison.KeyPrefix, "rows were written by others again and again")
 }
 
-func (k *Keeper) commit(ctx context.Context, edits []edit) (platform.TxnReply, error) {
+func (k *Tracker) commit(ctx context.Context, edits []edit) (platform.TxnReply, error) {
 	ctx, cancel := context.WithTimeout(platform.WithReason(ctx, platform.ReasonFatal), k.cfg.Timeout)
 	defer cancel()
 	var txn platform.Txn
@@ -180,7 +180,7 @@
 			if err != nil {
 				return nil, err
 			}
-			e.value = poison.WithEnds(held, e.value.Service, e.value.Ends.List(), e.value.At.Time())
+			e.value = poison.WithCrashes(held, e.value.Service, e.value.Ends.List(), e.value.At.Time())
 			if e.value == held {
 				continue
 			}
@@ -192,7 +192,7 @@
 }
 
 // written notes that rows are as they should be.
-func (k *Keeper) written(edits []edit) {
+func (k *Tracker) written(edits []edit) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, e := range edits {
--- a/quota/borrower.go
+++ b/quota/borrower.go
@@ -97,11 +97,11 @@
 }
 
 // Lent takes a home's answer to a question that was asked at a time.
-func (b *Borrower) Lent(asked, now time.Time, customer, home string, l Loan) {
+func (b *Borrower) Lent(asked, now time.Time, customer, home string, l Allotment) {
 	p := b.holding(customer)
 	delete(b.away, home)
-	if l.Granted == 0 {
-		p.empty[home] = now.Add(min(max(l.Wait, b.terms.LeastPause), b.terms.MostPause))
+	if l.Count == 0 {
+		p.empty[home] = now.Add(min(max(l.RetryDelay, b.terms.LeastPause), b.terms.MostPause))
 		return
 	}
 	delete(p.empty, home)
@@ -113,7 +113,7 @@
 	if !now.Before(p.until) {
 		p.held = 0
 	}
-	p.held += l.Granted
+	p.held += l.Count
 	p.until = until
 }
 
--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -73,7 +73,7 @@
 
 // Wait returns when one that was refused should come back. Each is told a time of its own, as far apart as requests may pass, so
 // that those who wait do not come together.
-func (b *Bucket) Wait(now time.Time) time.Duration {
+func (b *Bucket) RetryDelay(now time.Time) time.Duration {
 	b.fill(now)
 	first := max(b.filled.Sub(now), 0) + spanOf((1-b.saved)/b.limit.Rate)
 	next := max(first, b.promised.Sub(now)+spanOf(1/b.limit.Rate))
--- a/quota/home.go
+++ b/quota/home.go
@@ -3,11 +3,11 @@
 import "time"
 
 // Loan is a home's answer to a borrower.
-type Loan struct {
+type Allotment struct {
 	// Granted is how many requests are lent.
-	Granted int
+	Count int
 	// Wait is when there should be one, where none is lent.
-	Wait time.Duration
+	RetryDelay time.Duration
 }
 
 // Home lends a node's parts of the limits of which it is a home; its owner locks it. A node that is home to all customers, each with
@@ -50,14 +50,14 @@
 }
 
 // Lend lends from the node's part of a customer's limit.
-func (h *Home) Lend(now time.Time, customer string, part Limit, want int) Loan {
+func (h *Home) Lend(now time.Time, customer string, part Limit, want int) Allotment {
 	h.now = now
 	b := h.buckets.Of(customer, func() *Bucket { return NewBucket(h.from, part) })
 	b.SetLimit(now, part)
 	if granted := b.Take(now, want); granted > 0 {
-		return Loan{Granted: granted}
+		return Allotment{Count: granted}
 	}
-	return Loan{Wait: b.Wait(now)}
+	return Allotment{RetryDelay: b.RetryDelay(now)}
 }
 
 // Customers returns the customers that were met of late.
--- a/quota/sim_test.go
+++ b/quota/sim_test.go
@@ -116,15 +116,15 @@
 }
 
 // lend has a node answer a question; false when it does not take itself for a home.
-func (f *simFleet) lend(n *simNode, want int) (Loan, bool) {
+func (f *simFleet) lend(n *simNode, want int) (Allotment, bool) {
 	if f.even {
 		return n.home.Lend(f.clock(n), simCustomer, f.limit.Part(len(f.nodes)), want), true
 	}
 	if !f.isHome(n, simCustomer) {
-		return Loan{}, false
+		return Allotment{}, false
 	}
 	loan := n.home.Lend(f.clock(n), simCustomer, f.limit.Part(len(f.lists[n.view].Homes(simCustomer))), want)
-	if loan.Granted > 0 {
+	if loan.Count > 0 {
 		f.checkHome(n)
 	}
 	return loan, true
@@ -243,7 +243,7 @@
 		took = simPatience + 1
 	}
 	if n == home && home.cut > f.now && f.lists[len(f.lists)-1] != f.lists[home.view] {
-		f.staleOwn += loan.Granted
+		f.staleOwn += loan.Count
 	}
 	if !ok || took > simPatience {
 		// What was lent is lost: nobody uses it.
@@ -251,10 +251,10 @@
 		return false
 	}
 	n.borrower.Lent(asked, asked.Add(took), simCustomer, h.ID, loan)
-	if loan.Granted > 0 {
+	if loan.Count > 0 {
 		n.lentUntil = max(n.lentUntil, f.now+DefaultTerms().Term)
 	}
-	return loan.Granted > 0
+	return loan.Count > 0
 }
 
 // trouble draws what may happen within a tick to a fleet that lives for so long.
--- a/ratelimit/allowance.go
+++ b/ratelimit/allowance.go
@@ -38,8 +38,8 @@
 	Settle time.Duration
 	// Window is the time over which limits are counted, Spare how many requests of each customer the whole fleet may pass in one by
 	// nodes that reach no home.
-	Window time.Duration
-	Spare  int
+	Window   time.Duration
+	Fallback int
 }
 
 // patience is how long a home's answer is waited for: several round trips between regions (20 ms one way) are too long for requests
@@ -58,7 +58,7 @@
 }
 
 // Allowance is safe for concurrent use.
-type Allowance struct {
+type Limiter struct {
 	cfg      Config
 	log      *zerolog.Logger
 	snapshot func() *configsync.Snapshot
@@ -74,22 +74,22 @@
 	home     *quota.Home
 	borrower *quota.Borrower
 	spare    *quota.Spare
-	used     *quota.PerCustomer[*Use]
+	used     *quota.PerCustomer[*Usage]
 }
 
 // Option changes an allowance under construction.
-type Option func(*Allowance)
+type Option func(*Limiter)
 
 // WithClock replaces the clock.
-func WithClock(c clock.Clock) Option { return func(a *Allowance) { a.now = c } }
+func WithClock(c clock.Clock) Option { return func(a *Limiter) { a.now = c } }
 
 // New returns the allowance of a node that starts.
 func New(
 	cfg Config, log *zerolog.Logger, snapshot func() *configsync.Snapshot, links Links, m *metrics.Metrics, opts ...Option,
-) *Allowance {
-	a := &Allowance{
+) *Limiter {
+	a := &Limiter{
 		cfg: cfg, log: log, snapshot: snapshot, links: links, metrics: m, now: clock.Boot, borrower: quota.NewBorrower(quota.DefaultTerms()),
-		spare: quota.NewSpare(cfg.Window), used: quota.NewPerCustomer[*Use](nil),
+		spare: quota.NewSpare(cfg.Window), used: quota.NewPerCustomer[*Usage](nil),
 	}
 	for _, opt := range opts {
 		opt(a)
@@ -100,7 +100,7 @@
 
 // Observe takes a new snapshot in force. Before the node is ready its list shows little more than itself: with that it would take
 // itself for the home of all customers, and then wait for the list to settle with which it has started.
-func (a *Allowance) Observe(snap *configsync.Snapshot) {
+func (a *Limiter) Observe(snap *configsync.Snapshot) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.now()
@@ -130,14 +130,14 @@
 }
 
 // isHome tells whether this node is a home of a customer; the lock is held.
-func (a *Allowance) isHome(customer string) bool {
+func (a *Limiter) isHome(customer string) bool {
 	return slices.ContainsFunc(a.homes(customer), a.own)
 }
 
-func (a *Allowance) own(h quota.Host) bool { return h.ID == a.cfg.Host }
+func (a *Limiter) own(h quota.Host) bool { return h.ID == a.cfg.Host }
 
 // homes are the homes of a customer, those of the own hall first, none while the hosts are not known; the lock is held.
-func (a *Allowance) homes(customer string) []quota.Host {
+func (a *Limiter) homes(customer string) []quota.Host {
 	if a.place == nil {
 		return nil
 	}
@@ -149,7 +149,7 @@
 	return homes
 }
 
-func (a *Allowance) distance(h quota.Host) int {
+func (a *Limiter) distance(h quota.Host) int {
 	switch {
 	case a.own(h):
 		return 0
@@ -169,22 +169,22 @@
 }
 
 // Lend answers a peer: it lends from this node's part of a customer's limit.
-func (a *Allowance) Lend(customer string, want int) quota.Loan {
+func (a *Limiter) Grant(customer string, want int) quota.Allotment {
 	limit, ok := limitOf(a.snapshot().State, customer)
 	if !ok {
-		return quota.Loan{}
+		return quota.Allotment{}
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	loan := a.lend(a.now(), customer, limit, want)
-	a.use(customer).Lent += uint64(loan.Granted) //nolint:gosec // not negative
+	a.use(customer).Granted += uint64(loan.Count) //nolint:gosec // not negative
 	return loan
 }
 
 // lend lends where this node is a home; the lock is held.
-func (a *Allowance) lend(now time.Time, customer string, limit quota.Limit, want int) quota.Loan {
+func (a *Limiter) lend(now time.Time, customer string, limit quota.Limit, want int) quota.Allotment {
 	if !a.isHome(customer) {
-		return quota.Loan{}
+		return quota.Allotment{}
 	}
 	parts := len(a.homes(customer))
 	if a.cfg.Policy == Even {
@@ -194,14 +194,14 @@
 }
 
 // Pass is one request that may pass; it stands until the request has reached an endpoint or is given back.
-type Pass struct {
-	a        *Allowance
+type Permit struct {
+	a        *Limiter
 	customer string
 	until    time.Time
 }
 
 // Return gives the pass back: the request has reached no endpoint.
-func (p Pass) Return() {
+func (p Permit) Return() {
 	if p.a == nil || p.until.IsZero() {
 		return
 	}
@@ -212,10 +212,10 @@
 }
 
 // Take lets one request of a customer pass, else returns when one should.
-func (a *Allowance) Take(ctx context.Context, customer string) (Pass, time.Duration, bool) {
+func (a *Limiter) Take(ctx context.Context, customer string) (Permit, time.Duration, bool) {
 	limit, ok := limitOf(a.snapshot().State, customer)
 	if !ok {
-		return Pass{}, 0, true
+		return Permit{}, 0, true
 	}
 	a.mu.Lock()
 	want := a.borrower.Arrived(a.now(), customer)
@@ -234,18 +234,18 @@
 }
 
 // take uses what is held; the lock is held.
-func (a *Allowance) take(customer string) (Pass, bool) {
+func (a *Limiter) take(customer string) (Permit, bool) {
 	until, ok := a.borrower.Use(a.now(), customer)
-	return Pass{a: a, customer: customer, until: until}, ok
+	return Permit{a: a, customer: customer, until: until}, ok
 }
 
 // borrow asks one home and uses what it lends.
-func (a *Allowance) borrow(ctx context.Context, home quota.Host, customer string, limit quota.Limit, want int) (Pass, bool) {
+func (a *Limiter) borrow(ctx context.Context, home quota.Host, customer string, limit quota.Limit, want int) (Permit, bool) {
 	asked := a.now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !a.borrower.May(asked, customer, home.ID) {
-		return Pass{}, false
+		return Permit{}, false
 	}
 	if a.own(home) {
 		a.borrower.Lent(asked, asked, customer, home.ID, a.lend(asked, customer, limit, want))
@@ -256,30 +256,30 @@
 	a.mu.Lock()
 	if !ok {
 		a.borrower.Silent(a.now(), home.ID)
-		return Pass{}, false
+		return Permit{}, false
 	}
 	a.borrower.Lent(asked, a.now(), customer, home.ID, loan)
 	return a.take(customer)
 }
 
 // ask asks a peer; false when it does not answer in time.
-func (a *Allowance) ask(ctx context.Context, home, customer string, want int) (quota.Loan, bool) {
+func (a *Limiter) ask(ctx context.Context, home, customer string, want int) (quota.Allotment, bool) {
 	host, ok := a.snapshot().ByID[home]
 	if !ok || !a.links.Usable(host.Address) {
-		return quota.Loan{}, false
+		return quota.Allotment{}, false
 	}
 	ctx, cancel := context.WithTimeout(ctx, patience)
 	defer cancel()
 	s, err := a.links.Session(ctx, host.Address)
 	if err != nil {
-		return quota.Loan{}, false
+		return quota.Allotment{}, false
 	}
 	granted, wait, err := s.Borrow(ctx, customer, want)
-	return quota.Loan{Granted: granted, Wait: wait}, err == nil
+	return quota.Allotment{Count: granted, RetryDelay: wait}, err == nil
 }
 
 // lastResort lets a request pass by this node's part of the spare while no home can be reached, else tells when to come back.
-func (a *Allowance) lastResort(customer string, homes []quota.Host) (Pass, time.Duration, bool) {
+func (a *Limiter) lastResort(customer string, homes []quota.Host) (Permit, time.Duration, bool) {
 	names := make([]string, 0, len(homes))
 	for _, h := range homes {
 		names = append(names, h.ID)
@@ -288,8 +288,8 @@
 	defer a.mu.Unlock()
 	now := a.now()
 	wait, reached := a.borrower.Wait(now, customer, names)
-	if !reached && a.place != nil && a.spare.Use(now, customer, a.place.Share(a.cfg.Host, customer, a.cfg.Spare)) {
-		return Pass{}, 0, true
+	if !reached && a.place != nil && a.spare.Use(now, customer, a.place.Share(a.cfg.Host, customer, a.cfg.Fallback)) {
+		return Permit{}, 0, true
 	}
-	return Pass{}, time.Duration(float64(wait) * (1 + spread*rand.Float64())), false //nolint:gosec // spreads callers, no secret
+	return Permit{}, time.Duration(float64(wait) * (1 + spread*rand.Float64())), false //nolint:gosec // spreads callers, no secret
 }
--- a/ratelimit/allowance_test.go
+++ b/ratelimit/allowance_test.go
@@ -27,7 +27,7 @@
 func (noLinks) Usable(string) bool { return false }
 
 // lone returns the allowance of host h0 in a hall of its own among so many hosts of others, and how to show it a snapshot.
-func lone(t *testing.T, policy Policy, limit string) (a *Allowance, show func(hosts int, ready bool)) {
+func lone(t *testing.T, policy Policy, limit string) (a *Limiter, show func(hosts int, ready bool)) {
 	t.Helper()
 	row, err := table.NewRow(table.KindCustomer, "acme", []string{"", limit})
 	if err != nil {
@@ -43,7 +43,7 @@
 	}
 	log := zerolog.Nop()
 	snap := &configsync.Snapshot{State: state}
-	cfg := Config{Host: "h0", Hall: "hall-0", Policy: policy, Settle: time.Hour, Window: time.Minute, Spare: 6}
+	cfg := Config{Host: "h0", Hall: "hall-0", Policy: policy, Settle: time.Hour, Window: time.Minute, Fallback: 6}
 	a = New(cfg, &log, func() *configsync.Snapshot { return snap }, noLinks{}, m)
 	return a, func(hosts int, ready bool) {
 		next := &configsync.Snapshot{State: state, Ready: ready, ByID: make(map[string]table.HostInfo)}
@@ -57,7 +57,7 @@
 }
 
 // passes counts how many of some requests pass.
-func passes(t *testing.T, a *Allowance, of int) (n int) {
+func passes(t *testing.T, a *Limiter, of int) (n int) {
 	t.Helper()
 	for range of {
 		if _, _, ok := a.Take(t.Context(), "acme"); ok {
--- a/ratelimit/report.go
+++ b/ratelimit/report.go
@@ -6,7 +6,7 @@
 )
 
 // Use is what came of a customer's requests at one node since it started.
-type Use struct {
+type Usage struct {
 	// Customer is the customer's name.
 	Customer string `json:"customer"`
 	// Limit and Burst are its limit for the whole fleet, in requests a second and at once.
@@ -16,29 +16,29 @@
 	Passed  uint64 `json:"passed"`
 	Refused uint64 `json:"refused"`
 	// Lent counts what this node has lent to others, Unused what passed and reached no endpoint.
-	Lent   uint64 `json:"lent"`
-	Unused uint64 `json:"unused"`
+	Granted uint64 `json:"lent"`
+	Unused  uint64 `json:"unused"`
 	// Home is set where this node is a home of the customer's limit.
-	Home bool `json:"home"`
+	IsOwner bool `json:"home"`
 }
 
 // With returns the counts with those of another node added.
-func (u Use) With(o Use) Use {
+func (u Usage) Plus(o Usage) Usage {
 	u.Passed += o.Passed
 	u.Refused += o.Refused
-	u.Lent += o.Lent
+	u.Granted += o.Granted
 	u.Unused += o.Unused
-	u.Home = u.Home || o.Home
+	u.IsOwner = u.IsOwner || o.IsOwner
 	return u
 }
 
 // use is the customer's counts; the lock is held.
-func (a *Allowance) use(customer string) *Use {
-	return a.used.Of(customer, func() *Use { return &Use{Customer: customer} })
+func (a *Limiter) use(customer string) *Usage {
+	return a.used.Of(customer, func() *Usage { return &Usage{Customer: customer} })
 }
 
 // count counts one request.
-func (a *Allowance) count(customer string, passed bool) {
+func (a *Limiter) count(customer string, passed bool) {
 	a.metrics.Limited(customer, passed)
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -51,19 +51,19 @@
 }
 
 // Report returns the customers with a limit that were met of late, those that were refused most first.
-func (a *Allowance) Report() []Use {
+func (a *Limiter) Report() []Usage {
 	state := a.snapshot().State
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	customers := a.used.Customers()
-	out := make([]Use, 0, len(customers))
+	out := make([]Usage, 0, len(customers))
 	for _, customer := range customers {
 		u := *a.use(customer)
 		limit, _ := limitOf(state, customer)
-		u.Limit, u.Burst, u.Home = limit.Rate, limit.Burst, a.isHome(customer)
+		u.Limit, u.Burst, u.IsOwner = limit.Rate, limit.Burst, a.isHome(customer)
 		out = append(out, u)
 	}
-	slices.SortFunc(out, func(x, y Use) int {
+	slices.SortFunc(out, func(x, y Usage) int {
 		return cmp.Or(cmp.Compare(y.Refused, x.Refused), cmp.Compare(x.Customer, y.Customer))
 	})
 	return out
--- a/region/set.go
+++ b/region/set.go
@@ -12,7 +12,7 @@
 var Any Set
 
 // With returns the regions that are also among some names; no names bind nothing.
-func (s Set) With(names []string) Set {
+func (s Set) Intersect(names []string) Set {
 	if len(names) == 0 {
 		return s
 	}
@@ -24,7 +24,7 @@
 }
 
 // Bound tells whether the set leaves some region out.
-func (s Set) Bound() bool { return s.bound }
+func (s Set) IsRestricted() bool { return s.bound }
 
 // Allows tells whether data may be in a region; where that is not known, "", it is not one of a bound set.
 func (s Set) Allows(name string) bool {
--- a/region/set_test.go
+++ b/region/set_test.go
@@ -14,13 +14,13 @@
 		{[]string{"a", "b"}, []string{"b", "c"}, map[string]bool{"a": false, "b": true, "c": false}},
 		{[]string{"a"}, []string{"b"}, map[string]bool{"a": false, "b": false, "": false}},
 	} {
-		s := Any.With(c.route).With(c.customer)
+		s := Any.Intersect(c.route).Intersect(c.customer)
 		for name, want := range c.allowed {
 			if got := s.Allows(name); got != want {
 				t.Errorf("%v and %v: got %q allowed %v, want %v", c.route, c.customer, name, got, want)
 			}
 		}
-		if got, want := s.Bound(), len(c.route)+len(c.customer) > 0; got != want {
+		if got, want := s.IsRestricted(), len(c.route)+len(c.customer) > 0; got != want {
 			t.Errorf("%v and %v: got bound %v, want %v", c.route, c.customer, got, want)
 		}
 	}
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -25,7 +25,7 @@
 )
 
 // Beat is one heartbeat of an endpoint.
-type Beat struct {
+type Heartbeat struct {
 	// Instance is the endpoint's own name.
 	Instance string
 	// Born is when its life began, in milliseconds since 1970; 0 if it does not say.
@@ -45,17 +45,17 @@
 }
 
 // Key names the endpoint's life.
-func (b Beat) Key() string { return Key(b.Instance, b.Born) }
+func (b Heartbeat) Key() string { return Key(b.Instance, b.Born) }
 
 // Endpoint is one endpoint beside this node.
 type Endpoint struct {
 	// Entry is its row.
 	table.Entry[table.Endpoint]
 	// Leaving is set for good once it has said that it drains or leaves.
-	Leaving bool
+	Draining bool
 	// ToldAt is when it last said how long it is cold, the zero time if it never did, and ColdUntil until when that is, both by
 	// clock.Boot.
-	ToldAt, ColdUntil time.Time
+	ReportedAt, ColdUntil time.Time
 	// sequence is the highest that was heard.
 	sequence uint64
 }
@@ -88,7 +88,7 @@
 //
 // Invariant: a life that was ever draining or leaving never takes new work again, and none that another has followed, under its name
 // or at its address, comes back, whatever comes later.
-func (r *Registry) Beat(b Beat) error {
+func (r *Registry) Beat(b Heartbeat) error {
 	if err := b.Check(); err != nil {
 		return err
 	}
@@ -111,9 +111,9 @@
 			Service: b.Service, Host: r.host, Hall: r.hall, Address: b.Address,
 			Slots: table.Count(b.Slots), Weight: 1, //nolint:gosec // checked
 		}},
-		Leaving: old.Leaving || b.Draining, ToldAt: now, ColdUntil: now.Add(b.Cold), sequence: max(old.sequence, b.Sequence),
+		Draining: old.Draining || b.Draining, ReportedAt: now, ColdUntil: now.Add(b.Cold), sequence: max(old.sequence, b.Sequence),
 	}
-	if next.Leaving {
+	if next.Draining {
 		next.Value.Phase = table.Draining
 	}
 	r.replaceOthers(next)
@@ -125,7 +125,7 @@
 }
 
 // past tells whether a heartbeat is of a life that has ended, or that another has followed; the lock is held.
-func (r *Registry) past(b Beat) bool {
+func (r *Registry) past(b Heartbeat) bool {
 	if slices.Contains(r.ended, b.Key()) {
 		return true
 	}
@@ -150,13 +150,13 @@
 		return
 	}
 	now := r.clock()
-	e := Endpoint{Entry: table.Entry[table.Endpoint]{Key: a.Key, Value: a.Value}, ToldAt: now, ColdUntil: now.Add(cold)}
+	e := Endpoint{Entry: table.Entry[table.Endpoint]{Key: a.Key, Value: a.Value}, ReportedAt: now, ColdUntil: now.Add(cold)}
 	r.live[a.Key] = e
 	r.changed(e)
 }
 
 // Check refuses a heartbeat that makes no sense.
-func (b Beat) Check() error {
+func (b Heartbeat) Check() error {
 	switch {
 	case b.Instance == "" || strings.ContainsAny(b.Instance, " \t\r\n/"):
 		return fault.New(fault.BadRequest, "heartbeat", "want the instance")
@@ -199,7 +199,7 @@
 // changed logs a change of one endpoint and tells of all.
 func (r *Registry) changed(e Endpoint) {
 	events.EndpointAnnounced.Log(r.log).Str("endpoint", e.Key).Str("service", e.Value.Service).
-		Bool("leaving", e.Leaving).Uint64("sequence", e.sequence).Send()
+		Bool("leaving", e.Draining).Uint64("sequence", e.sequence).Send()
 	r.onChange(r.list())
 }
 
@@ -236,10 +236,10 @@
 
 // drain keeps new work from an instance for good.
 func (r *Registry) drain(e Endpoint) {
-	if e.Leaving {
+	if e.Draining {
 		return
 	}
-	e.Leaving = true
+	e.Draining = true
 	e.Value.Phase = table.Draining
 	r.live[e.Key] = e
 	r.changed(e)
@@ -254,12 +254,12 @@
 }
 
 // Of returns an endpoint of a service that takes new work, the first by name.
-func (r *Registry) Of(service string) (Endpoint, bool) {
+func (r *Registry) ActiveEndpoint(service string) (Endpoint, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	first, found := Endpoint{}, false
 	for key, e := range r.live {
-		if e.Value.Service == service && !e.Leaving && (!found || key < first.Key) {
+		if e.Value.Service == service && !e.Draining && (!found || key < first.Key) {
 			first, found = e, true
 		}
 	}
@@ -267,11 +267,11 @@
 }
 
 // Serving tells whether some endpoint takes new work.
-func (r *Registry) Serving() bool {
+func (r *Registry) HasActive() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, e := range r.live {
-		if !e.Leaving {
+		if !e.Draining {
 			return true
 		}
 	}
@@ -279,7 +279,7 @@
 }
 
 // Known returns how many endpoints have announced themselves, leaving ones included.
-func (r *Registry) Known() int {
+func (r *Registry) Count() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.live)
--- a/registry/script_test.go
+++ b/registry/script_test.go
@@ -33,7 +33,7 @@
 		})
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			announced = nil
-			b := Beat{Service: "desk", Address: "10.0.0.1:80", Slots: 4, Draining: d.HasArg("draining")}
+			b := Heartbeat{Service: "desk", Address: "10.0.0.1:80", Slots: 4, Draining: d.HasArg("draining")}
 			d.MaybeScanArgs(t, "key", &b.Instance)
 			d.MaybeScanArgs(t, "born", &b.Born)
 			d.MaybeScanArgs(t, "service", &b.Service)
@@ -61,7 +61,7 @@
 				}
 				r.Restore(a, 0)
 			case "serving":
-				return fmt.Sprintln(r.Serving())
+				return fmt.Sprintln(r.HasActive())
 			default:
 				d.Fatalf(t, "no such command")
 			}
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -54,7 +54,7 @@
 }
 
 // Request counts the first arrival of a request, which earns its share of a retry.
-func (b *Budget) Request(now time.Time, share float64) {
+func (b *Budget) CountRequest(now time.Time, share float64) {
 	if share == 0 {
 		return
 	}
@@ -78,7 +78,7 @@
 
 // Take grants one retry if the budget has one left.
 func (b *Budget) Take(now time.Time) bool {
-	if b.Left(now) < 1 {
+	if b.Remaining(now) < 1 {
 		return false
 	}
 	b.saved--
@@ -86,10 +86,10 @@
 }
 
 // Return gives back the retry that was granted last and did not reach the endpoint.
-func (b *Budget) Return() { b.saved++ }
+func (b *Budget) Refund() { b.saved++ }
 
 // Left returns the retries left.
-func (b *Budget) Left(now time.Time) float64 {
+func (b *Budget) Remaining(now time.Time) float64 {
 	b.fill(now)
 	return b.saved
 }
--- a/retry/fleet_test.go
+++ b/retry/fleet_test.go
@@ -32,7 +32,7 @@
 // simulation is a service's endpoints over time.
 type simulation struct {
 	t     *rapid.T
-	share Share
+	share FleetSlack
 	ratio float64
 	now   time.Time
 	doors []*door
@@ -53,9 +53,9 @@
 	s.counts = append(s.counts, len(s.doors))
 	granted := 0
 	for i, d := range s.doors {
-		d.budget.SetSlack(s.now, s.share.Part(s.counts[max(0, len(s.counts)-1-d.lag)], i))
+		d.budget.SetSlack(s.now, s.share.EndpointShare(s.counts[max(0, len(s.counts)-1-d.lag)], i))
 		for range requests {
-			d.budget.Request(s.now, s.ratio)
+			d.budget.CountRequest(s.now, s.ratio)
 		}
 		for range asked {
 			if d.budget.Take(s.now) {
@@ -114,7 +114,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s := &simulation{
 			t: t, now: start, ratio: rapid.Float64Range(0, 0.5).Draw(t, "ratio"),
-			share: Share{Slack: rapid.Float64Range(0, 200).Draw(t, "slack"), Window: window, Most: 1000},
+			share: FleetSlack{Slack: rapid.Float64Range(0, 200).Draw(t, "slack"), Window: window, MaxShare: 1000},
 		}
 		for range rapid.IntRange(1, 12).Draw(t, "endpoints") {
 			s.doors = append(s.doors, s.open())
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -8,7 +8,7 @@
 
 const (
 	// MostAttempts bounds the sends of one request.
-	MostAttempts = 3
+	MaxAttempts = 3
 	// refusingShare is the share of refused requests above which a service gets no retries for lack of capacity.
 	refusingShare = 0.5
 	// refusalMemory is over how many of the last answers that share is taken.
@@ -22,7 +22,7 @@
 }
 
 // Answer notes whether a send was refused for lack of capacity.
-func (r *Refusals) Answer(refused bool) {
+func (r *Refusals) Record(refused bool) {
 	hit := 0.0
 	if refused {
 		hit = 1
@@ -36,38 +36,38 @@
 // Attempt is what the decision rests on.
 type Attempt struct {
 	// Number is how many sends there were, 1 after the first.
-	Number int
+	Attempts int
 	// Most is how many sends the route allows; 0 stands for MostAttempts.
-	Most int
+	MaxAttempts int
 	// Outcome is how the last one ended.
 	Outcome peerpb.Outcome
 	// Overloaded is set when it was refused for lack of capacity.
 	Overloaded bool
 	// Misplaced is set when it was refused because the sender's view was old: drain, wrong host, no link.
-	Misplaced bool
+	Misrouted bool
 	// Failed is set when the endpoint answered that it could not do the work.
 	Failed bool
 	// Repeatable is set when the request may run more than once.
 	Repeatable bool
 	// Started is set when part of an answer went to the caller.
-	Started bool
+	AnswerStarted bool
 	// Replayable is set while the whole request body can be sent again.
 	Replayable bool
 	// Left is the time to the deadline.
-	Left time.Duration
+	TimeLeft time.Duration
 	// Typical is the service's usual service time.
-	Typical time.Duration
+	TypicalServiceTime time.Duration
 }
 
 // Worthwhile tells whether a further send is allowed and could still help, the budget aside.
 //
 // Invariant: a request that is not repeatable is sent again only after proof that it was not run.
-func Worthwhile(a Attempt) bool {
-	most := MostAttempts
-	if a.Most > 0 {
-		most = a.Most
+func CanRetry(a Attempt) bool {
+	most := MaxAttempts
+	if a.MaxAttempts > 0 {
+		most = a.MaxAttempts
 	}
-	if a.Number >= most || a.Started || !a.Replayable || a.Left <= a.Typical {
+	if a.Attempts >= most || a.AnswerStarted || !a.Replayable || a.TimeLeft <= a.TypicalServiceTime {
 		return false
 	}
 	switch a.Outcome {
@@ -85,8 +85,8 @@
 // Decide tells whether a further send may be asked for; the endpoint's budget has the last word. What was misplaced goes
 // again all the same, and nothing goes again for lack of capacity into a service that is refusing.
 func (r *Refusals) Decide(a Attempt) bool {
-	if !Worthwhile(a) {
+	if !CanRetry(a) {
 		return false
 	}
-	return a.Misplaced || !a.Overloaded || !r.Refusing()
+	return a.Misrouted || !a.Overloaded || !r.Refusing()
 }
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -21,16 +21,16 @@
 func TestScripts(t *testing.T) {
 	datadriven.RunTest(t, "testdata/decide", func(t *testing.T, d *datadriven.TestData) string {
 		a := Attempt{
-			Number: 1, Repeatable: d.HasArg("repeatable"), Failed: d.HasArg("failed"), Started: d.HasArg("started"),
-			Misplaced: d.HasArg("misplaced"), Overloaded: d.HasArg("overloaded"), Replayable: !d.HasArg("large"),
-			Left: time.Second, Typical: 10 * time.Millisecond,
+			Attempts: 1, Repeatable: d.HasArg("repeatable"), Failed: d.HasArg("failed"), AnswerStarted: d.HasArg("started"),
+			Misrouted: d.HasArg("misplaced"), Overloaded: d.HasArg("overloaded"), Replayable: !d.HasArg("large"),
+			TimeLeft: time.Second, TypicalServiceTime: 10 * time.Millisecond,
 		}
 		word, left := "", "1s"
 		d.ScanArgs(t, "outcome", &word)
-		d.MaybeScanArgs(t, "n", &a.Number)
+		d.MaybeScanArgs(t, "n", &a.Attempts)
 		d.MaybeScanArgs(t, "left", &left)
 		a.Outcome = outcomes[word]
-		a.Left, _ = time.ParseDuration(left)
+		a.TimeLeft, _ = time.ParseDuration(left)
 		b := NewBudget(start.Add(-2*window), window, 0)
 		b.SetSlack(start.Add(-2*window), 5/savedShare)
 		var r Refusals
@@ -38,10 +38,10 @@
 			r.share = 1
 		}
 		ok := r.Decide(a)
-		if ok && !a.Misplaced {
+		if ok && !a.Misrouted {
 			ok = b.Take(start)
 		}
-		return fmt.Sprintf("again=%v spent=%v\n", ok, 5-b.Left(start))
+		return fmt.Sprintf("again=%v spent=%v\n", ok, 5-b.Remaining(start))
 	})
 }
 
@@ -73,13 +73,13 @@
 			switch {
 			case step < 4:
 				requests = append(requests, now)
-				b.Request(now, share)
+				b.CountRequest(now, share)
 			case step < 8:
 				if b.Take(now) {
 					retries = append(retries, now)
 				}
 			case step == 8 && len(retries) > 0:
-				b.Return()
+				b.Refund()
 				retries = retries[:len(retries)-1]
 			default:
 				now = now.Add(300 * time.Millisecond)
@@ -102,7 +102,7 @@
 		after time.Duration
 		want  float64
 	}{{0, 0}, {settle, 0}, {settle + window/6, 2}, {2 * window, 4}} {
-		if got := b.Left(start.Add(c.after)); math.Abs(got-c.want) > 1e-6 {
+		if got := b.Remaining(start.Add(c.after)); math.Abs(got-c.want) > 1e-6 {
 			t.Errorf("after %v: got %v, want %v", c.after, got, c.want)
 		}
 	}
@@ -112,17 +112,17 @@
 // there are, and that whoever has a part can save up a retry unless the whole slack is too small for one.
 func TestPartsAddUpToTheSlack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := Share{
-			Slack:  rapid.Float64Range(0, 1000).Draw(t, "slack"),
-			Window: window,
-			Most:   rapid.Float64Range(0, 100).Draw(t, "most"),
+		s := FleetSlack{
+			Slack:    rapid.Float64Range(0, 1000).Draw(t, "slack"),
+			Window:   window,
+			MaxShare: rapid.Float64Range(0, 100).Draw(t, "most"),
 		}
 		n := rapid.IntRange(1, 1000).Draw(t, "endpoints")
 		got := 0.0
 		for rank := range n {
-			part := s.Part(n, rank)
+			part := s.EndpointShare(n, rank)
 			got += part
-			if part > 0 && part < min(s.Most, s.Slack, 1/savedShare) {
+			if part > 0 && part < min(s.MaxShare, s.Slack, 1/savedShare) {
 				t.Fatalf("part of endpoint %d of %d: got %v, which never saves up a retry", rank, n, part)
 			}
 		}
@@ -137,11 +137,11 @@
 func TestNeverAgainAfterDoubt(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := Attempt{
-			Number:     rapid.IntRange(0, 5).Draw(t, "n"),
+			Attempts:   rapid.IntRange(0, 5).Draw(t, "n"),
 			Outcome:    rapid.SampledFrom([]peerpb.Outcome{0, 1, 3, 4}).Draw(t, "outcome"),
-			Overloaded: rapid.Bool().Draw(t, "overloaded"), Misplaced: rapid.Bool().Draw(t, "misplaced"),
-			Failed: rapid.Bool().Draw(t, "failed"), Started: rapid.Bool().Draw(t, "started"),
-			Replayable: true, Left: time.Hour,
+			Overloaded: rapid.Bool().Draw(t, "overloaded"), Misrouted: rapid.Bool().Draw(t, "misplaced"),
+			Failed: rapid.Bool().Draw(t, "failed"), AnswerStarted: rapid.Bool().Draw(t, "started"),
+			Replayable: true, TimeLeft: time.Hour,
 		}
 		if got, want := new(Refusals).Decide(a), false; got != want {
 			t.Fatalf("%+v: got %v, want %v", a, got, want)
@@ -151,14 +151,14 @@
 
 // TestBurstFollowsTheFleet checks that a node which has heard of the whole fleet gives back what it held as if alone.
 func TestBurstFollowsTheFleet(t *testing.T) {
-	share := Share{Slack: 80, Window: window, Most: 24}
+	share := FleetSlack{Slack: 80, Window: window, MaxShare: 24}
 	b := NewBudget(start, window, 0)
-	b.SetSlack(start, share.Part(1, 0))
+	b.SetSlack(start, share.EndpointShare(1, 0))
 	now := start.Add(time.Minute)
-	if got, want := b.Left(now), 24*savedShare; got != want {
+	if got, want := b.Remaining(now), 24*savedShare; got != want {
 		t.Fatalf("retries of one endpoint that knows no other: got %v, want %v", got, want)
 	}
-	b.SetSlack(now, share.Part(20, 0))
+	b.SetSlack(now, share.EndpointShare(20, 0))
 	taken := 0
 	for b.Take(now) {
 		taken++
--- a/skipped/list.go
+++ b/skipped/list.go
@@ -72,7 +72,7 @@
 }
 
 // Understood forgets an entry that can be read now.
-func (l *List) Understood(source Source, where string) {
+func (l *List) Decoded(source Source, where string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.entries, key{source: source, where: where})
--- a/skipped/list_test.go
+++ b/skipped/list_test.go
@@ -30,7 +30,7 @@
 			case "note":
 				l.Note(Source(arg(0)), arg(1), arg(2))
 			case "understood":
-				l.Understood(Source(arg(0)), arg(1))
+				l.Decoded(Source(arg(0)), arg(1))
 			case "replace":
 				now := make(map[string]string)
 				for line := range strings.Lines(d.Input) {
--- a/table/halls.go
+++ b/table/halls.go
@@ -87,5 +87,5 @@
 // route and the customer allow.
 func (s *State) RegionsFor(r Route, customer string) region.Set {
 	c, _ := s.Customer(customer)
-	return region.Any.With(r.Regions.List()).With(c.Value.Regions.List())
+	return region.Any.Intersect(r.Regions.List()).Intersect(c.Value.Regions.List())
 }
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -82,7 +82,7 @@
 	if err != nil {
 		return nil, err
 	}
-	memory.BoundSocket(raw)
+	memory.LimitSocketBuffers(raw)
 	return newConn(raw, r.Address), nil
 }
 
--- a/virtual/load.go
+++ b/virtual/load.go
@@ -40,10 +40,10 @@
 	if r.measured() {
 		r.result.Requests++
 		if q.customer > 0 {
-			r.result.ShareAll++
+			r.result.CompliantRequests++
 		}
 	}
-	r.budget.Request(r.clock.now, retryShare)
+	r.budget.CountRequest(r.clock.now, retryShare)
 	r.send(q)
 }
 
@@ -75,7 +75,7 @@
 // watch notes endpoints that went out of service.
 func (r *run) watch() {
 	for i := range r.out {
-		out := r.policy.Out(i)
+		out := r.policy.OutOfService(i)
 		if out && !r.out[i] {
 			r.wentOut(i)
 		}
@@ -88,7 +88,7 @@
 	case !r.measured():
 	case !r.hit(i):
 		r.result.FalseEjections++
-	case i == 0 && r.result.Detected < 0:
-		r.result.Detected = r.since() - Onset
+	case i == 0 && r.result.DetectionTime < 0:
+		r.result.DetectionTime = r.since() - Onset
 	}
 }
--- a/virtual/members_test.go
+++ b/virtual/members_test.go
@@ -18,14 +18,14 @@
 	const seeds, length = 6, 5 * time.Minute
 	watch := func(members int) (mean time.Duration, wrong int) {
 		s := Stream{
-			Service: Service{Name: "many", Endpoints: members, Slots: 6, FalseEjections: 0.05}, Policy: NewOurs,
+			Service: Service{Name: "many", Endpoints: members, Slots: 6, FalseEjections: 0.05}, Policy: NewLynxplank,
 			Rate: nodeRate / float64(members), Length: length,
 		}
 		for s.Seed = range uint64(seeds) {
 			s.Fault = Fault{}
 			wrong += s.Run().FalseEjections
 			s.Fault = Fault{Name: "fails", Fail: 0.9}
-			if found := s.Run().Detected; found >= 0 {
+			if found := s.Run().DetectionTime; found >= 0 {
 				mean += found / seeds
 			} else {
 				mean += length / seeds
--- a/virtual/policy.go
+++ b/virtual/policy.go
@@ -14,17 +14,17 @@
 	// is out of service.
 	Pick(now time.Time, tried []int, repeatable bool) (endpoint int, trial bool)
 	// Late is when work counts as overdue, 0 for never.
-	Late() time.Duration
+	OverdueAfter() time.Duration
 	// Overdue tells of work that has not ended after Late.
-	Overdue(now time.Time, endpoint int)
+	ObserveOverdue(now time.Time, endpoint int)
 	// Done tells how work ended; worked is false for work that the endpoint did not take.
 	Done(now time.Time, endpoint int, trial, worked, failed, wasLate bool, service time.Duration)
 	// Tick lets time pass.
 	Tick(now time.Time)
 	// Usable tells of a link that was found cut, or whole again.
-	Usable(now time.Time, endpoint int, usable bool)
+	SetUsable(now time.Time, endpoint int, usable bool)
 	// Out tells whether an endpoint gets no ordinary work.
-	Out(endpoint int) bool
+	OutOfService(endpoint int) bool
 }
 
 // Service is one of the brief's services.
@@ -76,12 +76,12 @@
 	return false
 }
 
-func (p *roundRobin) Late() time.Duration                                        { return 0 }
-func (p *roundRobin) Overdue(time.Time, int)                                     {}
+func (p *roundRobin) OverdueAfter() time.Duration                                { return 0 }
+func (p *roundRobin) ObserveOverdue(time.Time, int)                              {}
 func (p *roundRobin) Done(time.Time, int, bool, bool, bool, bool, time.Duration) {}
 func (p *roundRobin) Tick(time.Time)                                             {}
-func (p *roundRobin) Usable(time.Time, int, bool)                                {}
-func (p *roundRobin) Out(int) bool                                               { return false }
+func (p *roundRobin) SetUsable(time.Time, int, bool)                             {}
+func (p *roundRobin) OutOfService(int) bool                                      { return false }
 
 // The common rule: five failures in a row, or a failure share that is more than a fixed factor of the mean's spread
 // beyond it, eject for 30 s, at most half of the endpoints.
@@ -105,10 +105,10 @@
 }
 
 // NewCommon returns the second baseline.
-func NewCommon(s Service, _ *rand.Rand) Policy { return newCommon(s, commonInRow, true) }
+func NewConventional(s Service, _ *rand.Rand) Policy { return newCommon(s, commonInRow, true) }
 
 // NewInRow returns the common rule with another number of failures in a row and without the failure share.
-func NewInRow(limit int) NewPolicy {
+func NewConsecutiveFailures(limit int) NewPolicy {
 	return func(s Service, _ *rand.Rand) Policy { return newCommon(s, limit, false) }
 }
 
@@ -175,13 +175,13 @@
 	clear(p.all)
 }
 
-func (p *common) Out(i int) bool { return p.now.Before(p.until[i]) }
+func (p *common) OutOfService(i int) bool { return p.now.Before(p.until[i]) }
 
 // ours is the project's own choosing and ejecting, as the director joins them.
 type ours struct {
 	service  Service
 	random   *rand.Rand
-	detector *eject.Service
+	detector *eject.Detector
 	list     []eject.Endpoint
 	inFlight []int
 	latency  []float64
@@ -191,10 +191,10 @@
 }
 
 // NewOurs returns the project's policy with a floor of one half.
-func NewOurs(s Service, r *rand.Rand) Policy {
+func NewLynxplank(s Service, r *rand.Rand) Policy {
 	p := &ours{
 		service: s, random: r,
-		detector: eject.NewService(eject.DefaultConfig().With(s.FalseEjections, 0.5)),
+		detector: eject.NewDetector(eject.DefaultConfig().With(s.FalseEjections, 0.5)),
 		inFlight: make([]int, s.Endpoints), latency: make([]float64, s.Endpoints),
 		success: make([]float64, s.Endpoints), trial: make([]bool, s.Endpoints),
 	}
@@ -230,7 +230,7 @@
 		}
 		candidates = append(candidates, balance.Candidate{
 			Weight: float64(p.service.Slots) * v.Share, Slots: p.service.Slots, Outstanding: p.inFlight[i],
-			Latency: time.Duration(p.latency[i]), SuccessShare: p.success[i], LastChoice: v.Phase == eject.LastChoice, Suspect: v.Suspect,
+			Latency: time.Duration(p.latency[i]), SuccessRate: p.success[i], LastChoice: v.Phase == eject.LastChoice, Suspect: v.Suspect,
 		})
 		from = append(from, i)
 	}
@@ -242,15 +242,15 @@
 	return from[c], false
 }
 
-func (p *ours) Late() time.Duration {
-	if m := p.detector.Marks(); m.Known {
+func (p *ours) OverdueAfter() time.Duration {
+	if m := p.detector.Baselines(); m.Known {
 		return m.Late
 	}
 	return 0
 }
 
-func (p *ours) Overdue(now time.Time, i int) {
-	p.detector.Observe(now, p.keys[i], eject.Event{Kind: eject.Overdue, Latency: p.Late() + time.Microsecond})
+func (p *ours) ObserveOverdue(now time.Time, i int) {
+	p.detector.Observe(now, p.keys[i], eject.Observation{Kind: eject.Overdue, Latency: p.OverdueAfter() + time.Microsecond})
 }
 
 func (p *ours) Done(now time.Time, i int, trial, worked, failed, wasLate bool, service time.Duration) {
@@ -263,7 +263,7 @@
 	}
 	const memory = 0.1
 	good := 1.0
-	ev := eject.Event{Kind: eject.Success, Latency: service, Counted: wasLate}
+	ev := eject.Observation{Kind: eject.Success, Latency: service, WasOverdue: wasLate}
 	if failed {
 		good = 0
 		ev.Kind = eject.Failure
@@ -278,12 +278,12 @@
 
 func (p *ours) Tick(now time.Time) { p.detector.Tick(now) }
 
-func (p *ours) Usable(now time.Time, i int, usable bool) {
+func (p *ours) SetUsable(now time.Time, i int, usable bool) {
 	p.list[i].Usable = usable
 	p.detector.SetEndpoints(now, p.list)
 }
 
-func (p *ours) Out(i int) bool {
+func (p *ours) OutOfService(i int) bool {
 	phase := p.detector.Verdict(p.keys[i]).Phase
 	return phase == eject.Ejected || phase == eject.Trickle || !p.list[i].Usable
 }
--- a/virtual/result.go
+++ b/virtual/result.go
@@ -8,19 +8,19 @@
 // Result is what one run showed.
 type Result struct {
 	// Detected is from the onset until the endpoint got no ordinary work, negative if it never came to that.
-	Detected time.Duration
+	DetectionTime time.Duration
 	// Begun counts the requests that the endpoint got from the onset until then.
-	Begun int
+	RequestsUntilDetection int
 	// FalseEjections counts healthy endpoints taken out.
 	FalseEjections int
 	// Requests, Bad and Sends count, from the onset on, the requests, those that failed or were late, and the sends.
-	Requests, Bad, Sends int
+	Requests, Failed, Sends int
 	// Good counts answers in time, from the onset on.
-	Good int
+	InTime int
 	// Admitted are the times of admitted requests from their arrival, in milliseconds.
-	Admitted []float64
+	LatenciesMillis []float64
 	// ShareBad and ShareAll count the requests of customers that keep to their share.
-	ShareBad, ShareAll int
+	CompliantFailed, CompliantRequests int
 }
 
 func (r *run) finish(q *request, good bool) {
@@ -30,15 +30,15 @@
 	took := r.clock.now.Sub(q.arrived)
 	good = good && took <= deadline
 	if good {
-		r.result.Good++
+		r.result.InTime++
 		if r.Length <= longestKept {
-			r.result.Admitted = append(r.result.Admitted, float64(took)/float64(time.Millisecond))
+			r.result.LatenciesMillis = append(r.result.LatenciesMillis, float64(took)/float64(time.Millisecond))
 		}
 		return
 	}
-	r.result.Bad++
+	r.result.Failed++
 	if q.customer > 0 {
-		r.result.ShareBad++
+		r.result.CompliantFailed++
 	}
 }
 
--- a/virtual/script_test.go
+++ b/virtual/script_test.go
@@ -12,7 +12,7 @@
 //
 //	stream service=N policy=ours|common [fail=F] [slow=F] [cut] seed=N
 func TestStreams(t *testing.T) {
-	policies := map[string]NewPolicy{"ours": NewOurs, "common": NewCommon}
+	policies := map[string]NewPolicy{"ours": NewLynxplank, "common": NewConventional}
 	datadriven.RunTest(t, "testdata/streams", func(t *testing.T, d *datadriven.TestData) string {
 		s := Stream{Length: 20 * time.Second, Fault: Fault{Name: "fault", Cut: d.HasArg("cut")}}
 		service, policy := 0, ""
@@ -24,7 +24,7 @@
 		s.Service, s.Policy = Services[service], policies[policy]
 		show := func() string {
 			r := s.Run()
-			return fmt.Sprintf("detected %v after %d requests, false %d\n", r.Detected.Round(10*time.Millisecond), r.Begun, r.FalseEjections)
+			return fmt.Sprintf("detected %v after %d requests, false %d\n", r.DetectionTime.Round(10*time.Millisecond), r.RequestsUntilDetection, r.FalseEjections)
 		}
 		first := show()
 		if got := show(); got != first {
--- a/virtual/sends.go
+++ b/virtual/sends.go
@@ -46,8 +46,8 @@
 	q.sends++
 	if r.measured() {
 		r.result.Sends++
-		if r.hit(i) && i == 0 && r.result.Detected < 0 {
-			r.result.Begun++
+		if r.hit(i) && i == 0 && r.result.DetectionTime < 0 {
+			r.result.RequestsUntilDetection++
 		}
 	}
 	r.nextID++
@@ -96,7 +96,7 @@
 	work := r.work(s.endpoint)
 	left := s.request.arrived.Add(deadline).Sub(r.clock.now)
 	failed := r.fails(s.endpoint)
-	if late := r.policy.Late(); late > 0 && late < work {
+	if late := r.policy.OverdueAfter(); late > 0 && late < work {
 		r.clock.after(late, func() { r.overdue(s) })
 	}
 	lost := r.Fault.Cut && r.faulty(s.endpoint)
@@ -132,7 +132,7 @@
 func (r *run) overdue(s *send) {
 	if !s.over && !s.late {
 		s.late = true
-		r.policy.Overdue(r.clock.now, s.endpoint)
+		r.policy.ObserveOverdue(r.clock.now, s.endpoint)
 		r.watch()
 	}
 }
@@ -175,9 +175,9 @@
 
 func (r *run) again(s *send, a retry.Attempt) {
 	q := s.request
-	a.Number, a.Replayable, a.Typical = q.sends, true, meanWork
-	a.Left = q.arrived.Add(deadline).Sub(r.clock.now)
-	r.refusals.Answer(a.Overloaded)
+	a.Attempts, a.Replayable, a.TypicalServiceTime = q.sends, true, meanWork
+	a.TimeLeft = q.arrived.Add(deadline).Sub(r.clock.now)
+	r.refusals.Record(a.Overloaded)
 	q.tried = append(q.tried, s.endpoint)
 	if r.refusals.Decide(a) && r.budget.Take(r.clock.now) {
 		r.send(q)
--- a/virtual/stream.go
+++ b/virtual/stream.go
@@ -102,7 +102,7 @@
 	r.budget = retry.NewBudget(r.clock.now, retryWindow, 0)
 	r.budget.SetSlack(r.clock.now, retryBurst)
 	r.policy = s.Policy(s.Service, rand.New(rand.NewPCG(s.Seed, 2))) //nolint:gosec // seeded on purpose
-	r.result.Detected = -1
+	r.result.DetectionTime = -1
 	for i := range s.Service.Endpoints {
 		r.endpoints = append(r.endpoints, &endpoint{
 			queue:   admission.NewQueue(s.Service.Slots, fairQueue, rand.New(rand.NewPCG(s.Seed, uint64(i)+3))), //nolint:gosec // seeded on purpose
@@ -113,7 +113,7 @@
 	r.arrive()
 	r.tick()
 	if s.Fault.Cut {
-		r.clock.after(Onset+cutFoundIn, func() { r.policy.Usable(r.clock.now, 0, false) })
+		r.clock.after(Onset+cutFoundIn, func() { r.policy.SetUsable(r.clock.now, 0, false) })
 	}
 	r.clock.runUntil(time.Unix(0, 0).Add(Onset + s.Length))
 	return r.result
@@ -124,7 +124,7 @@
 func (r *run) measured() bool { return r.since() >= Onset }
 
 // MeanWork is the mean service time of a healthy endpoint, heavy tail included.
-func MeanWork() time.Duration {
+func MeanServiceTime() time.Duration {
 	factor := 1 - tailShare + tailShare*tailFactor
 	return time.Duration(meanWork.Seconds() * factor * float64(time.Second))
 }
