--- a/configsync/activate.go
+++ b/configsync/activate.go
@@ -23,7 +23,7 @@
 	next.State = s
 	f.publish(&next)
 	r := s.Revisions()
-	events.RevisionInForce.Log(f.log).Uint64("revision", r[table.SourceRows]).
+	events.RevisionActivated.Log(f.log).Uint64("revision", r[table.SourceRows]).
 		Uint64("config", r[table.SourceConfig]).Uint64("hosts", r[table.SourceHosts]).
 		Uint64("fatal", r[table.SourcePoison]).Uint64("halls", r[table.SourceHalls]).Send()
 }
--- a/egress/stale.go
+++ b/egress/stale.go
@@ -47,7 +47,7 @@
 	if d.GetConfig() == 0 || d.GetConfig() >= seen {
 		return
 	}
-	events.OlderTaken.Log(e.log).Str("request", d.GetRequestId()).Str("endpoint", d.GetEndpoint()).
+	events.OlderConfigUsed.Log(e.log).Str("request", d.GetRequestId()).Str("endpoint", d.GetEndpoint()).
 		Str("route", d.GetRoute()).Uint64("config", d.GetConfig()).
 		Uint64("holds", e.state().Revisions()[table.SourceConfig]).Uint64("seen", seen).Send()
 }
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -257,13 +257,13 @@
 	for f, n := range counts {
 		if n >= poison.BlockThreshold && old[f] < poison.BlockThreshold {
 			fatal := t.view.get(f)
-			events.RequestBarred.Log(t.log).Stringer("content", f).Str("service", fatal.Service).
+			events.RequestBlocked.Log(t.log).Stringer("content", f).Str("service", fatal.Service).
 				Strs("ends", fatal.Ends.List()).Time("at", fatal.At.Time()).Send()
 		}
 	}
 	for f, n := range old {
 		if _, ok := counts[f]; !ok && n >= poison.BlockThreshold {
-			events.RequestLifted.Log(t.log).Stringer("content", f).Send()
+			events.RequestUnblocked.Log(t.log).Stringer("content", f).Send()
 		}
 	}
 	t.crashCounts.Store(&counts)
--- a/quarantine/write.go
+++ b/quarantine/write.go
@@ -44,7 +44,7 @@
 		}
 		retryDue = nil
 		if err := t.write(ctx); err != nil {
-			events.FatalNotWritten.Log(t.log).Err(err).Send()
+			events.CrashesNotWritten.Log(t.log).Err(err).Send()
 			retryDue = time.After(backoff.Next())
 			continue
 		}
@@ -201,7 +201,7 @@
 	for _, e := range edits {
 		delete(t.toRemove, e.fingerprint)
 		delete(t.toWrite, e.fingerprint)
-		events.FatalWritten.Log(t.log).Stringer("content", e.fingerprint).Str("service", e.value.Service).
+		events.CrashesWritten.Log(t.log).Stringer("content", e.fingerprint).Str("service", e.value.Service).
 			Strs("ends", e.value.Ends.List()).Bool("taken_out", e.remove).Send()
 	}
 }
