--- a/configsync/links.go
+++ b/configsync/links.go
@@ -44,7 +44,7 @@
 
 // pinLink records a usable link to a host as a message from it, and opens a link if there is none.
 func (f *Follower) pinLink(ctx context.Context, h table.HostInfo) {
-	if f.links.Linked(h.Address) {
+	if f.links.HasLink(h.Address) {
 		if f.links.Usable(h.Address) {
 			f.lastPeerMessage = time.Now()
 		}
--- a/configsync/read.go
+++ b/configsync/read.go
@@ -88,7 +88,7 @@
 // readProduct keeps reading the product's table until the node stops.
 func (f *Follower) readProduct(ctx context.Context) {
 	r := &productReader{
-		f: f, rows: changes.NewReader(f.platform, changes.WithBad(f.noteSkipped)), state: table.NewState(), poisonRequests: newRowSource(table.SourcePoison),
+		f: f, rows: changes.NewReader(f.platform, changes.WithSkipHandler(f.noteSkipped)), state: table.NewState(), poisonRequests: newRowSource(table.SourcePoison),
 		backoff: retry.Backoff{Initial: f.cfg.RetryInterval, Max: f.cfg.MaxRetryInterval},
 	}
 	for {
--- a/configsync/readers_test.go
+++ b/configsync/readers_test.go
@@ -46,7 +46,7 @@
 			configure(t, s, "1", "a")
 			p := &countingPlatform{Platform: store.NewLocal(s)}
 			log := zerolog.Nop()
-			links := peer.NewManager(peer.Config{Node: c.host, Hall: "hall-1", Heartbeat: time.Second, CutAfter: time.Second}, &log)
+			links := peer.NewManager(peer.Config{Node: c.host, Hall: "hall-1", Heartbeat: time.Second, EchoTimeout: time.Second}, &log)
 			// A node that receives no message from a peer reads by itself after isolatedAfterRetries of these.
 			const retry = 10 * time.Second
 			f := New(Config{
@@ -85,7 +85,7 @@
 	configure(t, s, "1", "a")
 	p := &countingPlatform{Platform: store.NewLocal(s)}
 	log := zerolog.Nop()
-	links := peer.NewManager(peer.Config{Node: other, Hall: "hall-1", Heartbeat: time.Second, CutAfter: time.Second}, &log)
+	links := peer.NewManager(peer.Config{Node: other, Hall: "hall-1", Heartbeat: time.Second, EchoTimeout: time.Second}, &log)
 	// A node that receives no message from a peer reads by itself after isolatedAfterRetries of these, which is longer
 	// than this test waits.
 	const retry = 2 * time.Second
--- a/egress/keys.go
+++ b/egress/keys.go
@@ -213,7 +213,7 @@
 }
 
 // HandOver implements peer.HandOver.
-func (s *replaySink) HandOver() bool { return peer.MayHandOver(s.Sink) }
+func (s *replaySink) HandOver() bool { return peer.AllowsDispatch(s.Sink) }
 
 // Head implements peer.Sink.
 func (s *replaySink) Head(h *peerpb.Head, soon bool) error {
--- a/egress/offer.go
+++ b/egress/offer.go
@@ -52,7 +52,7 @@
 		return false, peer.NotRun(fault.Suspect, l.breakerRetryAfter(time.Now()))
 	}
 	if p, ok := sink.(peer.Permitter); ok && d.GetWait() {
-		p.Waiting()
+		p.Queued()
 	}
 	if end := e.waitForSlot(ctx, l, d); end != nil {
 		return false, end
@@ -122,7 +122,7 @@
 	due := l.answerDue(d)
 	p, isOffer := sink.(peer.Permitter)
 	if !isOffer {
-		if !peer.MayHandOver(sink) {
+		if !peer.AllowsDispatch(sink) {
 			l.releaseTrial(trial)
 			return false, peer.NotRun(fault.Stopping, 0)
 		}
