--- a/configsync/inforce.go
+++ b/configsync/inforce.go
@@ -23,7 +23,7 @@
 	next.State = s
 	f.publish(&next)
 	r := s.Revisions()
-	events.RevisionInForce.Log(f.log).Uint64("revision", r[table.PlaneRows]).
+	events.RevisionActivated.Log(f.log).Uint64("revision", r[table.PlaneRows]).
 		Uint64("config", r[table.PlaneConfig]).Uint64("hosts", r[table.PlaneHosts]).
 		Uint64("fatal", r[table.PlaneFatal]).Uint64("halls", r[table.PlaneHalls]).Send()
 }
--- a/egress/stale.go
+++ b/egress/stale.go
@@ -45,7 +45,7 @@
 	if d.GetConfig() == 0 || d.GetConfig() >= seen {
 		return
 	}
-	events.OlderTaken.Log(e.log).Str("request", d.GetRequestId()).Str("endpoint", d.GetEndpoint()).
+	events.OlderConfigUsed.Log(e.log).Str("request", d.GetRequestId()).Str("endpoint", d.GetEndpoint()).
 		Str("route", d.GetRoute()).Uint64("config", d.GetConfig()).
 		Uint64("holds", e.state().Revisions()[table.PlaneConfig]).Uint64("seen", seen).Send()
 }
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -185,7 +185,7 @@
 	}
 	serviceMetrics := g.metrics.Service(c.service.Key)
 	end := g.serve(w, r, c)
-	serviceMetrics.Count(contract.OutcomeName(end.GetOutcome()), end.GetCode())
+	serviceMetrics.CountRequest(contract.OutcomeName(end.GetOutcome()), end.GetCode())
 	elapsed := time.Since(start)
 	serviceMetrics.Latency.RecordDuration(elapsed)
 	g.metrics.Customer(cmp.Or(c.customer, noCustomer)).RecordDuration(elapsed)
--- a/ingress/trail.go
+++ b/ingress/trail.go
@@ -96,7 +96,7 @@
 
 // logRetry logs that the request is sent to another endpoint.
 func (x *exchange) logRetry(end *peerpb.End) {
-	events.SentAgain.Log(x.g.log).Str("request", x.call.id).Str("service", x.call.service.Key).
+	events.RequestRetried.Log(x.g.log).Str("request", x.call.id).Str("service", x.call.service.Key).
 		Str("endpoint", x.trail.last()).Str("outcome", end.GetOutcome().String()).Str("code", end.GetCode()).
 		Int("sends", x.sends).Send()
 }
--- a/node/node.go
+++ b/node/node.go
@@ -155,7 +155,7 @@
 		keeper.Observe(s)
 	}), configsync.WithLeftOut(n.leftOut))
 	keeper = quarantine.New(quarantine.Config{
-		Host: n.cfg.Node.ID, RetryInterval: n.cfg.Platform.Retry.Std(), MaxRetryInterval: n.cfg.Platform.RetryMost.Std(), Timeout: n.cfg.Platform.Timeout.Std(),
+		Host: n.cfg.Node.ID, RetryInterval: n.cfg.Platform.RetryInterval.Std(), MaxRetryInterval: n.cfg.Platform.MaxRetryInterval.Std(), Timeout: n.cfg.Platform.Timeout.Std(),
 	}, n.log, client, links, follower.Snapshot)
 	egressOptions := []egress.Option{egress.WithCrashTracker(keeper), egress.WithBudget(n.budget)}
 	limits = ratelimit.New(n.allowanceConfig(), n.log, follower.Snapshot, links, m)
--- a/node/sampler.go
+++ b/node/sampler.go
@@ -96,7 +96,7 @@
 	if use.Refused == s.refused {
 		return
 	}
-	events.MemorySpent.Log(s.log).Uint64("refused", use.Refused-s.refused).Int64("held", use.Used).Int64("size", use.Size).Send()
+	events.BodyMemoryExhausted.Log(s.log).Uint64("refused", use.Refused-s.refused).Int64("held", use.Used).Int64("size", use.Size).Send()
 	s.refused = use.Refused
 }
 
--- a/quarantine/keeper.go
+++ b/quarantine/keeper.go
@@ -245,13 +245,13 @@
 	for c, n := range ends {
 		if n >= poison.BlockThreshold && old[c] < poison.BlockThreshold {
 			f := k.known.of(c)
-			events.RequestBarred.Log(k.log).Stringer("content", c).Str("service", f.Service).
+			events.RequestBlocked.Log(k.log).Stringer("content", c).Str("service", f.Service).
 				Strs("ends", f.Ends.List()).Time("at", f.At.Time()).Send()
 		}
 	}
 	for c, n := range old {
 		if _, ok := ends[c]; !ok && n >= poison.BlockThreshold {
-			events.RequestLifted.Log(k.log).Stringer("content", c).Send()
+			events.RequestUnblocked.Log(k.log).Stringer("content", c).Send()
 		}
 	}
 	k.ends.Store(&ends)
--- a/quarantine/write.go
+++ b/quarantine/write.go
@@ -43,7 +43,7 @@
 		}
 		again = nil
 		if err := k.write(ctx); err != nil {
-			events.FatalNotWritten.Log(k.log).Err(err).Send()
+			events.CrashesNotWritten.Log(k.log).Err(err).Send()
 			again = time.After(failing.Next())
 			continue
 		}
@@ -198,7 +198,7 @@
 	for _, e := range edits {
 		delete(k.clear, e.content)
 		delete(k.own, e.content)
-		events.FatalWritten.Log(k.log).Stringer("content", e.content).Str("service", e.value.Service).
+		events.CrashesWritten.Log(k.log).Stringer("content", e.content).Str("service", e.value.Service).
 			Strs("ends", e.value.Ends.List()).Bool("taken_out", e.gone).Send()
 	}
 }
