--- a/node/config.go
+++ b/node/config.go
@@ -26,14 +26,16 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// hallDistance is the time to another hall and back, until links are measured between halls: 1.5 ms each way.
-const hallDistance = 3 * time.Millisecond
+// interHallRTT is the assumed round-trip time to another hall, 1.5 ms each way. It stands in for a measurement of the links
+// between halls.
+const interHallRTT = 3 * time.Millisecond
 
-// announceDelay is how long a node waits for its endpoint's first heartbeat before it announces itself without one: a
-// little more than the time between two heartbeats.
+// announceDelay is how long a node waits for the first heartbeat of its endpoint before it announces its host without an
+// endpoint. It is slightly longer than the interval between two heartbeats.
 const announceDelay = 2 * time.Second
 
-// callerLimits are the settings' limits of the callers' listener, where no row goes before them.
+// callerLimits returns a function that yields the current limits of the callers' listener: those of the table's callers row
+// if there is one, else those of the settings. The number of connections always comes from the settings.
 func (n *Node) callerLimits(state func() *table.State) func() pipeline.Limits {
 	c := n.cfg.Callers
 	base := pipeline.Limits{
@@ -52,7 +54,7 @@
 	}
 }
 
-// contract is how the listener's callers are spoken to.
+// contract returns the header contract that the settings select for callers and endpoints.
 func (n *Node) contract() contract.Contract {
 	if n.cfg.Callers.Contract == "platform" {
 		return platform.Contract{}
@@ -60,7 +62,7 @@
 	return contract.Own{}
 }
 
-// limits are the settings' limits of a listener for nodes, endpoints or operators.
+// limits converts the limits that the settings give for a listener.
 func limits(l settings.Listener) serve.Limits {
 	return serve.Limits{
 		HeaderBytes: int(l.HeaderBytes), Conns: l.Conns,
@@ -77,7 +79,7 @@
 	}
 }
 
-func (n *Node) followConfig() configsync.Config {
+func (n *Node) followerConfig() configsync.Config {
 	c := configsync.Config{
 		Host: n.cfg.Node.ID, Hall: n.cfg.Node.Hall,
 		Retry: n.cfg.Platform.RetryInterval.Std(), RetryMost: n.cfg.Platform.MaxRetryInterval.Std(),
@@ -97,7 +99,7 @@
 	return c
 }
 
-func (n *Node) ejection() eject.Config {
+func (n *Node) ejectionConfig() eject.Config {
 	c := n.cfg.Ejection
 	cfg := eject.DefaultConfig()
 	cfg.BaseEjectionTime, cfg.MaxEjectionTime, cfg.ForgiveInterval = c.First.Std(), c.Longest.Std(), c.Forgive.Std()
@@ -105,7 +107,7 @@
 	return cfg
 }
 
-// policy is what the platform's configuration leaves open of a service.
+// policy returns the values of a service that the platform's configuration does not contain.
 func (n *Node) policy() table.Service {
 	c := n.cfg.Services
 	return table.Service{
@@ -115,7 +117,7 @@
 	}
 }
 
-// announceConfig is what the node tells of its host.
+// announceConfig returns how the node announces its host in the table: the announcement itself and the timing.
 func (n *Node) announceConfig(incarnation uint64) announce.Config {
 	address := n.cfg.Peers.Advertise
 	if !address.IsValid() {
@@ -149,15 +151,15 @@
 	}
 }
 
-// spareShare is the part of the slack of customers' limits that nodes pass which reach no home.
-const spareShare = 0.2
+// fallbackShare is the share of the slack of customers' limits that is left to nodes which reach no owner of a limit.
+const fallbackShare = 0.2
 
-// allowanceConfig is how customers are kept to their limits.
-func (n *Node) allowanceConfig() ratelimit.Config {
+// rateLimitConfig returns how customers' rate limits are enforced.
+func (n *Node) rateLimitConfig() ratelimit.Config {
 	c := n.cfg.Limits
 	return ratelimit.Config{
 		Host: n.cfg.Node.ID, Hall: n.cfg.Node.Hall, Policy: ratelimit.Policy(c.Policy), Settle: c.Settle.Std(),
-		Window: c.Window.Std(), Fallback: int(c.Slack * spareShare),
+		Window: c.Window.Std(), Fallback: int(c.Slack * fallbackShare),
 	}
 }
 
@@ -167,7 +169,8 @@
 	}
 }
 
-// tls is the peers' TLS, nil where the settings have none; BadSetting for files that cannot be used.
+// tls returns the TLS configuration for links to peers, nil if the settings have none. It fails with BadSetting if a file
+// cannot be used.
 func (n *Node) tls() (*tls.Config, error) {
 	t := n.cfg.Peers.TLS
 	if t.Cert == "" {
@@ -175,15 +178,15 @@
 	}
 	cert, err := tls.LoadX509KeyPair(t.Cert, t.Key)
 	if err != nil {
-		return nil, fault.Wrap(err, fault.BadSetting, "peers.tls", "certificate cannot be used")
+		return nil, fault.Wrap(err, fault.BadSetting, "peers.tls", "certificate and key cannot be loaded")
 	}
 	pem, err := os.ReadFile(t.CA)
 	if err != nil {
-		return nil, fault.Wrap(err, fault.BadSetting, "peers.tls.ca", "cannot be read")
+		return nil, fault.Wrap(err, fault.BadSetting, "peers.tls.ca", "CA file cannot be read")
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return nil, fault.New(fault.BadSetting, "peers.tls.ca", "holds no certificate")
+		return nil, fault.New(fault.BadSetting, "peers.tls.ca", "CA file contains no PEM certificate")
 	}
 	return &tls.Config{
 		Certificates: []tls.Certificate{cert}, RootCAs: pool, ClientCAs: pool,
--- a/node/contract_test.go
+++ b/node/contract_test.go
@@ -31,7 +31,7 @@
 	"github.com/lynxplank/lynxplank/tablefile"
 )
 
-// fixture is one node in this process with an endpoint and a platform beside it.
+// fixture is a node in this process with a stand-in endpoint and a stand-in platform.
 type fixture struct {
 	node     *node.Node
 	callers  string
@@ -136,15 +136,15 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("the declarations did not come in force")
+	t.Fatal("the declarations did not become active")
 }
 
 // TestCallersContract runs the requests of testdata/callers against a node. Commands:
 //
 //	endpoint [fail] [half] [long] [chunked] [shed] [slow]
-//	request method=M path=P [host=H] [body=TEXT] [bytes=N] [repeat=N]     headers in the input, a line each
+//	request method=M path=P [host=H] [body=TEXT] [bytes=N] [repeat=N]     header fields in the input, one a line
 //
-// It prints the status, the outcome, the system's own code and the fields of the contract that came back.
+// The output is the status, the outcome, the product's error code, and the header fields of the contract in the answer.
 func TestCallersContract(t *testing.T) {
 	f := start(t, `
 service: {desk: {queue: 0}, slow: {timeout: 500ms}}
@@ -155,24 +155,24 @@
 	defer f.stop(t)
 	datadriven.RunTest(t, "testdata/callers", func(t *testing.T, d *datadriven.TestData) string {
 		if d.Cmd == "endpoint" {
-			how := backend.Behaviour{WorkMillis: 1}
+			behaviour := backend.Behaviour{WorkMillis: 1}
 			if d.HasArg("fail") {
-				how.FailPercent = 100
+				behaviour.FailPercent = 100
 			}
 			if d.HasArg("half") {
-				how.HalfPercent = 100
+				behaviour.HalfPercent = 100
 			}
 			if d.HasArg("long") {
-				how.HalfLength = 4 << 20
+				behaviour.HalfLength = 4 << 20
 			}
-			how.HalfChunked = d.HasArg("chunked")
+			behaviour.HalfChunked = d.HasArg("chunked")
 			if d.HasArg("slow") {
-				how.WorkMillis = 60000
+				behaviour.WorkMillis = 60000
 			}
 			if d.HasArg("shed") {
-				how.ShedAbove = -1
+				behaviour.ShedAbove = -1
 			}
-			f.backend.Set(how)
+			f.backend.Set(behaviour)
 			return ""
 		}
 		repeat := 1
@@ -229,7 +229,7 @@
 	return strings.TrimSpace(out+" "+strings.Join(fields, " ")) + "\n"
 }
 
-// TestOperatorsListener checks the token, the reports and the metrics.
+// TestOperatorsListener checks the operators' listener: the token, the reports and the metrics.
 func TestOperatorsListener(t *testing.T) {
 	f := start(t, `
 service: {desk: {}}
@@ -238,7 +238,7 @@
 customer: {limited: {limit: 0.01}}
 `)
 	defer f.stop(t)
-	f.askLimited(t)
+	f.requestBeyondLimit(t)
 	if _, err := http.Get("http://" + f.callers + "/x"); err != nil {
 		t.Fatal(err)
 	}
@@ -282,9 +282,9 @@
 // TestNothingLeft checks that a stopped node leaves no goroutine behind.
 func TestNothingLeft(t *testing.T) {
 	before := goleak.IgnoreCurrent()
-	// go-zero keeps one goroutine a listener until its own end of the process, which never comes.
-	waiter := goleak.IgnoreAnyFunction("github.com/zeromicro/go-zero/core/proc.(*listenerManager).addListener.func2")
+	// go-zero keeps one goroutine per listener until its own process shutdown, which never happens here.
+	listener := goleak.IgnoreAnyFunction("github.com/zeromicro/go-zero/core/proc.(*listenerManager).addListener.func2")
 	f := start(t, "service: {desk: {}}\n")
 	f.stop(t)
-	goleak.VerifyNone(t, before, waiter)
+	goleak.VerifyNone(t, before, listener)
 }
--- a/node/doc.go
+++ b/node/doc.go
@@ -1,2 +1,3 @@
-// Package node builds a whole node from its settings and starts and stops it.
+// Package node assembles a node from its settings: it creates the components, registers them with the kernel, and starts,
+// reloads and stops the node.
 package node
--- a/node/metrics_test.go
+++ b/node/metrics_test.go
@@ -15,12 +15,12 @@
 )
 
 var (
-	shownName      = regexp.MustCompile(`(?m)^# TYPE (lynxplank_\w+) `)
+	exposedName    = regexp.MustCompile(`(?m)^# TYPE (lynxplank_\w+) `)
 	documentedName = regexp.MustCompile("`(lynxplank_\\w+)`")
 )
 
-// TestMetricsCatalogue holds docs/METRICS.md and what a node shows together: after a request and a look at every part, each
-// name that is shown is documented, and each documented one is shown.
+// TestMetricsCatalogue checks docs/METRICS.md against the metrics that a node exposes: after some requests and a sample of
+// every component, each exposed name is documented, and each documented name is exposed.
 func TestMetricsCatalogue(t *testing.T) {
 	f := start(t, `
 service: {desk: {}}
@@ -34,17 +34,17 @@
 		t.Fatal(err)
 	}
 	want := namesIn(documentedName, string(text))
-	// An endpoint that fails has the request sent again, so that retries show too.
+	// A failing endpoint causes a retry, so that the retry metrics are exposed too.
 	f.backend.Set(backend.Behaviour{WorkMillis: 1, FailPercent: 100})
 	resp, err := http.Get("http://" + f.callers + "/")
 	if err != nil {
 		t.Fatal(err)
 	}
 	_ = resp.Body.Close()
-	f.askLimited(t)
+	f.requestBeyondLimit(t)
 	var got []string
 	for range 600 {
-		got = namesIn(shownName, f.metrics(t))
+		got = namesIn(exposedName, f.metrics(t))
 		if slices.Equal(got, want) {
 			return
 		}
@@ -53,8 +53,9 @@
 	t.Errorf("names: got %q, want %q", got, want)
 }
 
-// askLimited sends requests of a customer until one is refused as beyond its limit. What its limit saves up first comes in with time.
-func (f *fixture) askLimited(t *testing.T) {
+// requestBeyondLimit sends a request of a customer whose limit is so low that the request is refused: its bucket starts empty and
+// fills only with time.
+func (f *fixture) requestBeyondLimit(t *testing.T) {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodGet, "http://"+f.callers+"/", nil)
 	if err != nil {
--- a/node/node.go
+++ b/node/node.go
@@ -35,7 +35,7 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// The names by which a node's services find each other.
+// The kernel names of a node's components, by which they are looked up.
 const (
 	// Links is the peer.Manager.
 	Links = "links"
@@ -43,9 +43,9 @@
 	Follower = "follower"
 	// Announcer is the announce.Announcer.
 	Announcer = "announcer"
-	// Restorer asks the endpoint beside a restarted node who it is.
+	// Restorer probes the endpoint beside a restarted node to identify it.
 	Restorer = "restorer"
-	// Keeper is the quarantine.Keeper.
+	// Keeper is the quarantine.Tracker.
 	Keeper = "keeper"
 	// Reaper is the announce.Reaper.
 	Reaper = "reaper"
@@ -57,42 +57,43 @@
 	Operators = "operators"
 	// Ingress is the ingress.Ingress.
 	Ingress = "ingress"
-	// Callers is the callers' serve.Server.
+	// Callers is the callers' pipeline.Server.
 	Callers = "callers"
 	// Metrics is the metrics.Metrics.
 	Metrics = "metrics"
-	// Sampler brings into the metrics what the other services hold.
+	// Sampler periodically copies the state of the other components into the metrics.
 	Sampler = "sampler"
-	// Heartbeats is the endpoints' serve.Server.
+	// Heartbeats is the serve.Server for endpoints' heartbeats.
 	Heartbeats = "heartbeats"
-	// Readiness is the serve.Server that tells whether the node may get callers.
+	// Readiness is the serve.Server that reports whether callers may be routed to the node.
 	Readiness = "readiness"
 )
 
-// Node is one process of the fleet.
+// Node holds the components of one proxy process of the fleet.
 type Node struct {
 	cfg settings.Daemon
 	log *zerolog.Logger
-	// out is where the log goes.
+	// out is the destination of the log.
 	out    io.Writer
 	kernel *kernel.Kernel
-	// seen are the settings as they were last read, badReload what was wrong with a file that could not be.
-	seen      settings.Daemon
-	badReload string
-	level     levelHook
-	// stopping is set once the planned stop has begun.
+	// lastRead holds the settings as last read successfully. reloadError is the text of the last reload's error, empty after
+	// a successful reload.
+	lastRead    settings.Daemon
+	reloadError string
+	level       levelHook
+	// stopping is true once the planned stop has begun.
 	stopping atomic.Bool
-	// grace is the time that the planned stop may take.
+	// grace tracks the time limits of the planned stop.
 	grace *grace
-	// announced holds the endpoints that announce themselves, nil where they are rows of the table.
+	// announced holds the endpoints that announce themselves; nil if endpoints are rows of the table.
 	announced *registry.Registry
-	// budget is what the node may hold of bodies.
+	// budget limits the memory that request and answer bodies may use.
 	budget *memory.Budget
-	// leftOut are the entries that could not be understood.
-	leftOut *skipped.List
+	// skipped holds the entries that could not be decoded.
+	skipped *skipped.List
 }
 
-// levelHook drops what is below a level that may change.
+// levelHook discards log lines below a level that can be changed at run time.
 type levelHook struct {
 	atomic.Int32
 }
@@ -104,18 +105,18 @@
 	}
 }
 
-// New builds a node; nothing runs or listens before Start.
+// New creates a node and its components; nothing runs or listens before Start.
 func New(cfg settings.Daemon, out io.Writer) (*Node, error) {
 	level, err := zerolog.ParseLevel(cfg.Log.Level)
 	if err != nil {
-		return nil, fault.Wrap(err, fault.BadSetting, "log.level", "no such level")
+		return nil, fault.Wrap(err, fault.BadSetting, "log.level", "unknown log level")
 	}
 	zerolog.TimeFieldFormat = time.RFC3339Nano
-	n := &Node{cfg: cfg, seen: cfg, out: out, kernel: kernel.New(), grace: newGrace(cfg.Stop)}
+	n := &Node{cfg: cfg, lastRead: cfg, out: out, kernel: kernel.New(), grace: newGrace(cfg.Stop)}
 	n.level.Store(int32(level))
 	log := zerolog.New(out).Hook(&n.level).With().Timestamp().Str("node", cfg.Node.ID).Logger()
 	n.log = &log
-	n.leftOut = skipped.New(n.log)
+	n.skipped = skipped.New(n.log)
 	n.budget = memory.New(cfg.Memory.Bodies())
 	if err := n.build(); err != nil {
 		return nil, err
@@ -123,9 +124,9 @@
 	return n, nil
 }
 
-// build makes the node's parts and registers them with the kernel.
+// build creates the node's components and registers them with the kernel.
 func (n *Node) build() error {
-	incarnation := rand.Uint64() //nolint:gosec // tells two lives apart, no secret
+	incarnation := rand.Uint64() //nolint:gosec // distinguishes two runs of a node, not a secret
 	config, err := n.tls()
 	if err != nil {
 		return err
@@ -143,22 +144,22 @@
 	calls := &storeCalls{metrics: m}
 	client := platform.NewClient(n.cfg.Platform.Address.String(),
 		platform.WithToken(string(n.cfg.Platform.Token)), platform.WithTimeout(n.cfg.Platform.Timeout.Std()),
-		platform.WithObserver(calls.note))
+		platform.WithObserver(calls.record))
 	var e *egress.Egress
 	var limits *ratelimit.Limiter
-	var keeper *quarantine.Tracker
+	var tracker *quarantine.Tracker
 	a := announce.New(n.announceConfig(incarnation), n.log, client)
-	follower = configsync.New(n.followConfig(), n.log, client, links, configsync.WithChangeHook(func(s *configsync.Snapshot) {
+	follower = configsync.New(n.followerConfig(), n.log, client, links, configsync.WithChangeHook(func(s *configsync.Snapshot) {
 		e.Observe(time.Now(), s)
 		a.Observe(s)
 		limits.Observe(s)
-		keeper.Observe(s)
-	}), configsync.WithLeftOut(n.leftOut))
-	keeper = quarantine.New(quarantine.Config{
+		tracker.Observe(s)
+	}), configsync.WithLeftOut(n.skipped))
+	tracker = quarantine.New(quarantine.Config{
 		Host: n.cfg.Node.ID, RetryInterval: n.cfg.Platform.RetryInterval.Std(), MaxRetryInterval: n.cfg.Platform.MaxRetryInterval.Std(), Timeout: n.cfg.Platform.Timeout.Std(),
 	}, n.log, client, links, follower.Snapshot)
-	egressOptions := []egress.Option{egress.WithCrashTracker(keeper), egress.WithBudget(n.budget)}
-	limits = ratelimit.New(n.allowanceConfig(), n.log, follower.Snapshot, links, m)
+	egressOptions := []egress.Option{egress.WithCrashTracker(tracker), egress.WithBudget(n.budget)}
+	limits = ratelimit.New(n.rateLimitConfig(), n.log, follower.Snapshot, links, m)
 	follower.ShowSelf(n.announceConfig(incarnation).Host)
 	view := hostView{self: n.cfg.Node.ID, snapshot: follower.Snapshot, links: links}
 	if n.announced = n.registry(a, follower, incarnation); n.announced != nil {
@@ -167,31 +168,31 @@
 	d := director.New(director.Config{
 		Host: n.cfg.Node.ID, Hall: n.cfg.Node.Hall, HallHosts: func() []string { return follower.Snapshot().HallHosts },
 		RegionOf:     func(hall string) string { return follower.Snapshot().RegionOf(hall) },
-		InterHallRTT: hallDistance, Ejection: n.ejection(),
-	}, n.log, follower.State, view.leaving, view.usable)
+		InterHallRTT: interHallRTT, Ejection: n.ejectionConfig(),
+	}, n.log, follower.State, view.draining, view.usable)
 	e = egress.New(n.egressConfig(incarnation), n.log, follower.State, egressOptions...)
-	links.Handle(handler{Egress: e, follower: follower, limits: limits, keeper: keeper})
+	links.Handle(handler{Egress: e, follower: follower, limits: limits, tracker: tracker})
 	g := ingress.New(n.ingressConfig(incarnation), n.log, follower.Snapshot, d, links, e, m, ingress.WithNewestConfigCheck(follower.Confirm),
-		ingress.WithLimits(limits), ingress.WithCrashCounter(keeper), ingress.WithBudget(n.budget))
+		ingress.WithLimits(limits), ingress.WithCrashCounter(tracker), ingress.WithBudget(n.budget))
 	n.kernel.Register(Announcer, a)
-	n.kernel.Register(Keeper, keeper)
+	n.kernel.Register(Keeper, tracker)
 	n.kernel.Register(Reaper, announce.NewReaper(n.cfg.Node.ID, n.cfg.Peers.GoneAfter.Std(), n.cfg.Platform.Timeout.Std(),
 		n.log, client, links, follower.Snapshot))
-	n.register(links, follower, d, e, g, limits, m, calls, keeper)
+	n.register(links, follower, d, e, g, limits, m, calls, tracker)
 	return nil
 }
 
-// register registers the parts and the listeners, in the order in which they start.
+// register registers the remaining components and the listeners with the kernel, in the order in which they start.
 func (n *Node) register(
 	links *peer.Manager, f *configsync.Follower, d *director.Director, e *egress.Egress, g *ingress.Ingress,
-	caps *ratelimit.Limiter, m *metrics.Metrics, calls *storeCalls, keeper *quarantine.Tracker,
+	limiter *ratelimit.Limiter, m *metrics.Metrics, calls *storeCalls, tracker *quarantine.Tracker,
 ) {
-	o := operator.New(n.cfg.Node.ID, n.cfg.Node.Hall, string(n.cfg.Operators.Token), f.Snapshot, f.Reads, e, d, links, caps, n.leftOut,
+	o := operator.New(n.cfg.Node.ID, n.cfg.Node.Hall, string(n.cfg.Operators.Token), f.Snapshot, f.Reads, e, d, links, limiter, n.skipped,
 		m.Handler())
 	n.kernel.Register(Metrics, m)
 	counter, _ := n.out.(eventCounter)
 	n.kernel.Register(Sampler, &sampler{
-		metrics: m, follower: f, egress: e, links: links, events: counter, calls: calls, keeper: keeper, budget: n.budget, log: n.log,
+		metrics: m, follower: f, egress: e, links: links, events: counter, calls: calls, tracker: tracker, budget: n.budget, log: n.log,
 	})
 	n.kernel.Register(Links, links)
 	n.kernel.Register(Follower, f)
@@ -219,30 +220,31 @@
 	}
 }
 
-// registry holds the endpoints that announce themselves, nil where they are rows of the table.
+// registry creates the registry of endpoints that announce themselves, and registers the listener for their heartbeats with
+// the kernel. It returns nil if endpoints are rows of the table.
 func (n *Node) registry(a *announce.Announcer, f *configsync.Follower, incarnation uint64) *registry.Registry {
 	if !n.cfg.Announced.Listen.IsValid() {
 		return nil
 	}
 	self := n.announceConfig(incarnation).Host
 	r := registry.New(n.cfg.Node.ID, n.cfg.Node.Hall, n.log, func(endpoints []table.Announced) {
-		line := self
-		line.Endpoints = endpoints
-		f.ShowSelf(line)
+		info := self
+		info.Endpoints = endpoints
+		f.ShowSelf(info)
 		a.Announce(endpoints)
 	})
-	bad := func(key string, err error) {
+	refused := func(key string, err error) {
 		events.BadHeartbeat.Log(n.log).Str("endpoint", key).Err(err).Send()
 	}
 	n.kernel.Register(Heartbeats, serve.New(Heartbeats, n.cfg.Announced.Listen.AddrPort,
-		serve.WithRoutes(platform.EndpointRoutes(r, bad)...)))
+		serve.WithRoutes(platform.EndpointRoutes(r, refused)...)))
 	return r
 }
 
-// Kernel returns the node's services.
+// Kernel returns the kernel that holds the node's components.
 func (n *Node) Kernel() *kernel.Kernel { return n.kernel }
 
-// Start starts every component; the node serves once it holds a configuration.
+// Start starts every component. The node serves requests once it has a configuration.
 func (n *Node) Start(ctx context.Context) error {
 	if err := n.kernel.Start(ctx); err != nil {
 		events.NodeFailed.Log(n.log).Err(err).Send()
@@ -253,21 +255,21 @@
 	return nil
 }
 
-// handler answers peers.
+// handler implements peer.Handler, which answers the messages of peers.
 type handler struct {
 	*egress.Egress
 	follower *configsync.Follower
 	limits   *ratelimit.Limiter
-	keeper   *quarantine.Tracker
+	tracker  *quarantine.Tracker
 }
 
 // Ended implements peer.Handler.
-func (h handler) Ended(word *peerpb.Ended) { h.keeper.HandleReport(word) }
+func (h handler) Ended(report *peerpb.Ended) { h.tracker.HandleReport(report) }
 
 // Lend implements peer.Handler.
 func (h handler) Lend(customer string, want int) (granted int, wait time.Duration) {
-	loan := h.limits.Grant(customer, want)
-	return loan.Count, loan.RetryDelay
+	allotment := h.limits.Grant(customer, want)
+	return allotment.Count, allotment.RetryDelay
 }
 
 // Confirm implements peer.Handler.
@@ -281,14 +283,14 @@
 	return configsync.Deltas(h.follower.Snapshot(), from, changesOnly)
 }
 
-// hostView tells what the host list and the links say of a host.
+// hostView reports the state of a host by the host list and the links to peers.
 type hostView struct {
 	self     string
 	snapshot func() *configsync.Snapshot
 	links    *peer.Manager
 }
 
-func (v hostView) leaving(host string) bool { return v.snapshot().ByID[host].Leaving }
+func (v hostView) draining(host string) bool { return v.snapshot().ByID[host].Leaving }
 
 func (v hostView) usable(host string) bool {
 	if host == v.self {
--- a/node/reload.go
+++ b/node/reload.go
@@ -10,27 +10,28 @@
 	"github.com/lynxplank/lynxplank/settings"
 )
 
-// Reload takes the settings file as it is now. The level of the log changes at once; what else has changed is named in
-// the log and waits for a restart. A file that is not valid changes nothing.
+// Reload applies the newly read settings cfg, or logs loadErr if the file was not valid; such a file changes nothing. The
+// log level changes at once. Other changed sections are listed in the log and take effect at the next restart.
 func (n *Node) Reload(cfg settings.Daemon, loadErr error) {
 	if loadErr != nil {
-		if text := loadErr.Error(); text != n.badReload {
-			n.badReload = text
+		if text := loadErr.Error(); text != n.reloadError {
+			n.reloadError = text
 			events.ReloadFailed.Log(n.log).Err(loadErr).Send()
 		}
 		return
 	}
-	n.badReload = ""
-	if reflect.DeepEqual(cfg, n.seen) {
+	n.reloadError = ""
+	if reflect.DeepEqual(cfg, n.lastRead) {
 		return
 	}
 	applied, waiting := n.apply(cfg)
-	n.seen = cfg
+	n.lastRead = cfg
 	events.Reloaded.Log(n.log).Strs("applied", applied).Strs("waiting", waiting).Send()
 }
 
+// apply sets the log level and returns the changed sections: those applied, and those that wait for a restart.
 func (n *Node) apply(cfg settings.Daemon) (applied, waiting []string) {
-	if level, err := zerolog.ParseLevel(cfg.Log.Level); err == nil && cfg.Log != n.seen.Log {
+	if level, err := zerolog.ParseLevel(cfg.Log.Level); err == nil && cfg.Log != n.lastRead.Log {
 		n.level.Store(int32(level))
 		applied = append(applied, "log")
 	}
--- a/node/restore.go
+++ b/node/restore.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// restoreEvery is the time between two questions to the endpoint, restoreFor how long they go on: an endpoint that
-	// lives sends its next heartbeat within about that time.
-	restoreEvery = 200 * time.Millisecond
-	restoreFor   = 2 * time.Second
+	// restoreInterval is the time between two probes of the endpoint, restoreTimeout the time after which probing ends: a live
+	// endpoint sends its next heartbeat within about that time.
+	restoreInterval = 200 * time.Millisecond
+	restoreTimeout  = 2 * time.Second
 )
 
-// restorer asks the endpoint beside a node that has started again who it is, so that it gets work before its next
-// heartbeat. It is a kernel component.
+// restorer identifies the endpoint beside a restarted node with a probe, so that the endpoint receives requests before its
+// next heartbeat. It is a kernel component.
 type restorer struct {
 	address  string
 	registry *registry.Registry
@@ -30,16 +30,16 @@
 	done     chan struct{}
 }
 
-// Start begins to ask.
+// Start starts probing.
 func (r *restorer) Start(context.Context) error {
-	ctx, cancel := context.WithTimeout(context.Background(), restoreFor)
+	ctx, cancel := context.WithTimeout(context.Background(), restoreTimeout)
 	r.stop = cancel
 	r.done = make(chan struct{})
 	go r.run(ctx)
 	return nil
 }
 
-// Stop ends the asking.
+// Stop ends probing and waits until it has ended.
 func (r *restorer) Stop(context.Context) error {
 	r.stop()
 	<-r.done
@@ -48,11 +48,11 @@
 
 func (r *restorer) run(ctx context.Context) {
 	defer close(r.done)
-	tick := time.NewTicker(restoreEvery)
+	tick := time.NewTicker(restoreInterval)
 	defer tick.Stop()
 	for r.registry.Count() == 0 {
 		if snap := r.snapshot(); snap.Ready {
-			r.ask(ctx, snap)
+			r.restore(ctx, snap)
 		}
 		select {
 		case <-ctx.Done():
@@ -62,8 +62,9 @@
 	}
 }
 
-// ask restores the endpoint that the store's line of this host names, if that is what stands at the address now.
-func (r *restorer) ask(ctx context.Context, snap *configsync.Snapshot) {
+// restore restores the endpoint that this host's announcement in the store names, if it is the one that answers at the
+// address now.
+func (r *restorer) restore(ctx context.Context, snap *configsync.Snapshot) {
 	for _, a := range snap.SelfLine.Endpoints {
 		service, ok := snap.State.Service(a.Value.Service)
 		if !ok || service.Value.ProbePath == "" || a.Value.Phase != table.Active || a.Value.Address != r.address {
@@ -76,9 +77,10 @@
 	}
 }
 
-// probe returns the instance that answers a probe as well and not leaving, "" if none does, and how much longer it is cold.
+// probe probes the endpoint. It returns the instance that answers as healthy and not draining, "" if there is none, and how
+// much longer that instance is cold.
 func (r *restorer) probe(ctx context.Context, path string) (instance string, cold time.Duration) {
-	ctx, cancel := context.WithTimeout(ctx, restoreEvery)
+	ctx, cancel := context.WithTimeout(ctx, restoreInterval)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.address+path, nil)
 	if err != nil {
--- a/node/sampler.go
+++ b/node/sampler.go
@@ -17,39 +17,40 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// sampleEvery is the time between two looks at what the gauges show: operators' tools look every 5 s at most.
-const sampleEvery = 2 * time.Second
+// sampleInterval is the time between two updates of the gauges: operators' tools scrape them every 5 s at most.
+const sampleInterval = 2 * time.Second
 
-// eventCounter tells how many lines of the log there were of each event, and how many were left out.
+// eventCounter counts the log lines of each event, and the lines that were suppressed.
 type eventCounter interface {
-	Counts() (seen map[int]uint64, left uint64)
+	Counts() (seen map[int]uint64, suppressed uint64)
 }
 
-// sampler brings into the metrics what the node's parts hold; it is a kernel component.
+// sampler periodically copies the state of the node's components into the metrics, and logs calls to the platform's store and
+// refused bodies. It is a kernel component.
 type sampler struct {
 	metrics  *metrics.Metrics
 	follower *configsync.Follower
 	egress   *egress.Egress
 	links    *peer.Manager
-	// events is nil where the log is not counted.
-	events eventCounter
-	calls  *storeCalls
-	keeper *quarantine.Tracker
-	budget *memory.Budget
-	log    *zerolog.Logger
-
-	// counted is how many lines of each event the metrics show.
+	// events is nil if log lines are not counted.
+	events  eventCounter
+	calls   *storeCalls
+	tracker *quarantine.Tracker
+	budget  *memory.Budget
+	log     *zerolog.Logger
+
+	// counted is the number of log lines of each event that the metrics include so far.
 	counted map[int]uint64
-	// refused is how often there was no room in the memory, as was told last.
+	// refused is the number of refusals by the memory budget, as logged last.
 	refused uint64
-	// revision and since are the configuration in force and when it was first seen.
-	revision table.Revisions
-	since    time.Time
-	stop     context.CancelFunc
-	done     chan struct{}
+	// revisions are those of the active configuration, and since is when they were first seen.
+	revisions table.Revisions
+	since     time.Time
+	stop      context.CancelFunc
+	done      chan struct{}
 }
 
-// Start begins to sample.
+// Start starts sampling.
 func (s *sampler) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	s.stop, s.done, s.counted = cancel, make(chan struct{}), make(map[int]uint64)
@@ -58,7 +59,7 @@
 	return nil
 }
 
-// Stop ends the sampling.
+// Stop ends sampling and waits until it has ended.
 func (s *sampler) Stop(context.Context) error {
 	s.stop()
 	<-s.done
@@ -67,7 +68,7 @@
 
 func (s *sampler) run(ctx context.Context) {
 	defer close(s.done)
-	tick := time.NewTicker(sampleEvery)
+	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -84,10 +85,10 @@
 	s.sampleWork()
 	s.sampleMemory()
 	s.sampleEvents()
-	s.tellCalls()
+	s.logCalls()
 }
 
-// sampleMemory shows what is held of bodies, and tells when there was no room for some.
+// sampleMemory updates the gauges of the memory used by bodies, and logs if the budget has refused more since the last sample.
 func (s *sampler) sampleMemory() {
 	use := s.budget.Usage()
 	s.metrics.Gauge("bodies_bytes", float64(use.Used))
@@ -100,8 +101,8 @@
 	s.refused = use.Refused
 }
 
-// tellCalls logs the calls to the platform's store since the last look, if there were any.
-func (s *sampler) tellCalls() {
+// logCalls logs the calls to the platform's store since the last sample, if there were any.
+func (s *sampler) logCalls() {
 	names, counts := s.calls.take()
 	if len(names) == 0 {
 		return
@@ -113,27 +114,29 @@
 	line.Send()
 }
 
-// sampleConfig shows what is in force here and since when.
+// sampleConfig updates the gauges of the active configuration and of how long it has been unchanged.
 func (s *sampler) sampleConfig(now time.Time) {
 	snap := s.follower.Snapshot()
-	held := snap.State.Revisions()
-	if held != s.revision {
-		s.revision, s.since = held, now
+	revisions := snap.State.Revisions()
+	if revisions != s.revisions {
+		s.revisions, s.since = revisions, now
 	}
 	ready := 0.0
 	if snap.Ready {
 		ready = 1
 	}
 	s.metrics.Gauge("ready", ready)
-	s.metrics.Gauge("config_version", float64(held[table.PlaneConfig]))
-	s.metrics.Gauge("rows_revision", float64(held[table.PlaneRows]))
+	s.metrics.Gauge("config_version", float64(revisions[table.PlaneConfig]))
+	s.metrics.Gauge("rows_revision", float64(revisions[table.PlaneRows]))
 	s.metrics.Gauge("config_unchanged_seconds", now.Sub(s.since).Seconds())
 	s.metrics.Gauge("hosts", float64(len(snap.Hosts)))
 }
 
-// sampleWork shows what the endpoints beside this node have to do, and the links.
+// sampleWork updates the gauges of the work of the endpoints beside this node, of poison requests and of the links to peers.
+// The gauges keep their outer names: draining endpoints are shown as leaving, retries as further sends, blocked requests as
+// barred.
 func (s *sampler) sampleWork() {
-	var busy, waiting, trials, leaving, first, further, ofFurther, spent float64
+	var busy, waiting, trials, draining, first, retries, callsOfRetries, outOfRetries float64
 	for _, e := range s.egress.Statuses() {
 		busy += float64(e.Busy)
 		waiting += float64(e.Waiting)
@@ -141,41 +144,41 @@
 			trials++
 		}
 		if e.Draining {
-			leaving++
+			draining++
 		}
 		first += float64(e.Arrivals.FirstSends)
-		further += float64(e.Arrivals.Retries)
-		ofFurther += e.Arrivals.CallsOfRetries
-		spent += float64(e.Arrivals.RetriesRefused)
+		retries += float64(e.Arrivals.Retries)
+		callsOfRetries += e.Arrivals.CallsOfRetries
+		outOfRetries += float64(e.Arrivals.RetriesRefused)
 	}
-	suspected, barred := s.keeper.Counts()
+	suspected, blocked := s.tracker.Counts()
 	s.metrics.Gauge("fatal_suspected", float64(suspected))
-	s.metrics.Gauge("fatal_barred", float64(barred))
+	s.metrics.Gauge("fatal_barred", float64(blocked))
 	dialed, accepted := s.links.Links()
 	s.metrics.Gauge("slots_busy", busy)
 	s.metrics.Gauge("queued", waiting)
 	s.metrics.Gauge("endpoints_on_trial", trials)
-	s.metrics.Gauge("endpoints_leaving", leaving)
+	s.metrics.Gauge("endpoints_leaving", draining)
 	s.metrics.Gauge("sends_first", first)
-	s.metrics.Gauge("sends_further", further)
-	s.metrics.Gauge("sends_of_further", ofFurther)
-	s.metrics.Gauge("sends_spent", spent)
+	s.metrics.Gauge("sends_further", retries)
+	s.metrics.Gauge("sends_of_further", callsOfRetries)
+	s.metrics.Gauge("sends_spent", outOfRetries)
 	s.metrics.Gauge("links_dialed", float64(dialed))
 	s.metrics.Gauge("links_accepted", float64(accepted))
 	s.metrics.Gauge("peer_bytes", float64(s.links.Bytes()))
 }
 
-// sampleEvents adds the lines of each event since the last look.
+// sampleEvents adds the log lines of each event since the last sample to the metrics.
 func (s *sampler) sampleEvents() {
 	if s.events == nil {
 		return
 	}
-	seen, left := s.events.Counts()
+	seen, suppressed := s.events.Counts()
 	for event, count := range seen {
 		if more := count - s.counted[event]; more > 0 {
-			s.metrics.Events(strconv.Itoa(event), int64(more)) //nolint:gosec // lines of two seconds
+			s.metrics.Events(strconv.Itoa(event), int64(more)) //nolint:gosec // the lines of two seconds fit
 		}
 	}
 	s.counted = seen
-	s.metrics.Gauge("log_lines_left_out", float64(left))
+	s.metrics.Gauge("log_lines_left_out", float64(suppressed))
 }
--- a/node/stop.go
+++ b/node/stop.go
@@ -16,10 +16,11 @@
 	"github.com/lynxplank/lynxplank/settings"
 )
 
-// grace is the time that a planned stop may take.
+// grace tracks how long a planned stop may take.
 type grace struct {
-	// sure is how long after a signal the node surely lives, most how long it goes on with work at the most.
-	sure, most time.Duration
+	// guaranteed is how long after a stop signal the node is certain not to be killed. max is how long it finishes work at the
+	// most, unless it is killed earlier.
+	guaranteed, max time.Duration
 
 	mu    sync.Mutex
 	began time.Time
@@ -27,49 +28,52 @@
 }
 
 func newGrace(cfg settings.Stop) *grace {
-	return &grace{sure: cfg.Grace.Std() - cfg.Margin.Std(), most: cfg.Grace.Std() + cfg.Overrun.Std()}
+	return &grace{guaranteed: cfg.Grace.Std() - cfg.Margin.Std(), max: cfg.Grace.Std() + cfg.Overrun.Std()}
 }
 
-// begin counts the time from now on and returns a context that ends with the most of it.
+// begin starts the planned stop's clock and returns a context that is cancelled after max.
 func (g *grace) begin() (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.Background())
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.began = time.Now()
-	g.timer = time.AfterFunc(g.most, cancel)
+	g.timer = time.AfterFunc(g.max, cancel)
 	return ctx, cancel
 }
 
-// renew counts the most anew and returns how long ago the stop began; false if it has not.
+// renew restarts the time of max and returns how long ago the stop began, false if it has not begun.
 //
-// Whoever sends the signal waits for the whole grace after it. A stop that went by the first signal alone would cut requests for which there
-// is time.
+// The sender of a repeated stop signal waits for the whole grace period again. A stop that counted from the first signal
+// alone would cut off requests that still have time.
 func (g *grace) renew() (time.Duration, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.timer == nil {
 		return 0, false
 	}
-	g.timer.Reset(g.most)
+	g.timer.Reset(g.max)
 	return time.Since(g.began), true
 }
 
-// until returns the end of the time that is sure. It counts from the first signal, as the node may be killed by that one.
-func (g *grace) until() time.Time {
+// guaranteedEnd returns the time until which the node is certain not to be killed. It counts from the first signal, as that
+// signal's sender may be the one who kills the node.
+func (g *grace) guaranteedEnd() time.Time {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.began.Add(g.sure)
+	return g.began.Add(g.guaranteed)
 }
 
-// Stop is the planned stop: the node makes each caller's next answer the connection's last and goes on with everything for the
-// notice, in which callers and peers find their way elsewhere; then it tells its peers, takes nothing new for the endpoint beside
-// it, refuses what no endpoint has and stops once the rest has ended. It fails when something did not end within grace and overrun.
+// Stop runs the planned stop. The node closes each caller's connection with its next answer and serves as before for the
+// notice period, in which callers and peers move to other nodes. Then it informs its peers, takes no new requests for the
+// endpoint beside it, refuses requests that no endpoint has received, and stops once the remaining requests have ended. It
+// fails if a request or a component did not end within grace and overrun.
 //
-// Invariant: within that time the node ends nothing that an endpoint works on. When its time is really over only whoever stops it knows, and
-// kills it then; a node that ends work by a clock of its own may be too early.
+// Invariant: within grace and overrun the node cuts off no request that an endpoint is working on. Only the process manager
+// knows when the time is really over, and kills the node then; a node that cut requests off by its own clock could be too
+// early.
 //
-// The endpoint lives on without its node. When its door was shut from the first moment on, a roll through a third of a fleet took
-// 4 of 10 sound endpoints out of use for two seconds.
+// The endpoint outlives its node, so it stays in use during the notice. When the node refused requests for the endpoint from
+// the start of the stop, a rolling restart of a third of a fleet took 4 of 10 healthy endpoints out of use for two seconds.
 func (n *Node) Stop() error {
 	start := time.Now()
 	events.NodeStopping.Log(n.log).Send()
@@ -84,7 +88,7 @@
 	if err != nil {
 		return err
 	}
-	g.StopDispatchBefore(n.grace.until())
+	g.StopDispatchBefore(n.grace.guaranteedEnd())
 	callers.Drain()
 	if err := n.withdrawWithEndpoint(); err != nil {
 		return err
@@ -104,14 +108,16 @@
 	return nil
 }
 
-// StopAgain grants a planned stop that has begun the whole grace once more; what has ended stays so.
+// RestartGrace handles a repeated stop signal: a planned stop that has begun gets the whole grace and overrun again. It
+// resumes nothing that has already ended.
 func (n *Node) RestartGrace() {
 	if after, begun := n.grace.renew(); begun {
 		events.StopRepeated.Log(n.log).Dur("after", after).Send()
 	}
 }
 
-// withdrawWithEndpoint takes the host's line out of the table if the endpoint beside it has left for good, and the host with it.
+// withdrawWithEndpoint removes the host's announcement from the table if the endpoint beside the node announced itself and is
+// no longer active: then the host is being removed together with the endpoint.
 func (n *Node) withdrawWithEndpoint() error {
 	if n.announced == nil || n.announced.Count() == 0 || n.announced.HasActive() {
 		return nil
@@ -123,7 +129,7 @@
 	return err
 }
 
-// announceStop tells the peers that the node takes nothing new for its endpoint, and takes nothing.
+// announceStop informs the peers that the node takes no new requests for its endpoint, and refuses such requests from now on.
 func (n *Node) announceStop() error {
 	links, err := kernel.Lookup[*peer.Manager](n.kernel, Links)
 	if err != nil {
@@ -138,11 +144,11 @@
 	return nil
 }
 
-// stopLook is the time between two looks at whether callers still have requests here.
-const stopLook = 20 * time.Millisecond
+// stopPollInterval is the time between two checks whether callers' requests are still in flight.
+const stopPollInterval = 20 * time.Millisecond
 
-// awaitNotice serves on until the notice is over: callers learn only after some seconds that the node is going, and their
-// connections may carry new requests until then.
+// awaitNotice waits until the notice period is over, while the node keeps serving: callers learn only after some seconds that
+// the node is stopping, and may send new requests on their connections until then.
 func (n *Node) awaitNotice(ctx context.Context, start time.Time) {
 	notice := time.NewTimer(n.cfg.Stop.Notice.Std() - time.Since(start))
 	defer notice.Stop()
@@ -152,32 +158,33 @@
 	}
 }
 
-// lastWords is the time before the end of what is sure in which callers are told what cannot be learned any more.
-const lastWords = 100 * time.Millisecond
+// unknownOutcomeLead is how long before the guaranteed end callers are answered with an unknown outcome where the real outcome
+// will no longer be known in time.
+const unknownOutcomeLead = 100 * time.Millisecond
 
-// awaitCallers refuses new requests, so that what was taken has the rest of the time to end in; callers may have nowhere else to
-// go and never stop sending.
+// awaitCallers refuses new requests and waits until the accepted ones have ended. It refuses because callers without another
+// node to use might never stop sending, and accepted requests need the remaining time.
 func (n *Node) awaitCallers(ctx context.Context, callers *pipeline.Server, g *ingress.Ingress) error {
 	callers.Refuse()
-	lost := time.AfterFunc(time.Until(n.grace.until().Add(-lastWords)), g.AbandonRecoverable)
-	defer lost.Stop()
-	for told := false; ctx.Err() == nil && callers.Working() > 0; time.Sleep(stopLook) {
-		if told || time.Now().Before(n.grace.until()) {
+	abandon := time.AfterFunc(time.Until(n.grace.guaranteedEnd().Add(-unknownOutcomeLead)), g.AbandonRecoverable)
+	defer abandon.Stop()
+	for reported := false; ctx.Err() == nil && callers.Working() > 0; time.Sleep(stopPollInterval) {
+		if reported || time.Now().Before(n.grace.guaranteedEnd()) {
 			continue
 		}
-		told = true
-		if err := n.tellOutlasting(callers, g); err != nil {
+		reported = true
+		if err := n.reportOutlasting(callers, g); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// stageBehind is a request that has not begun because another one on its connection has no answer yet.
+// stageBehind is the stage of a request that has not begun because an earlier request on its connection has no answer yet.
 const stageBehind = "behind"
 
-// tellOutlasting logs and counts the callers' requests that are still under way.
-func (n *Node) tellOutlasting(callers *pipeline.Server, g *ingress.Ingress) error {
+// reportOutlasting logs and counts the callers' requests that are still in flight at the guaranteed end.
+func (n *Node) reportOutlasting(callers *pipeline.Server, g *ingress.Ingress) error {
 	m, err := kernel.Lookup[*metrics.Metrics](n.kernel, Metrics)
 	if err != nil {
 		return err
--- a/node/storecalls.go
+++ b/node/storecalls.go
@@ -11,17 +11,17 @@
 	"github.com/lynxplank/lynxplank/platform"
 )
 
-// storeCalls counts the calls to the platform's store by kind, reason and failure, for the metrics and for the log.
+// storeCalls counts the calls to the platform's store by kind, reason and error code, for the metrics and for the log.
 type storeCalls struct {
 	metrics *metrics.Metrics
 
 	mu sync.Mutex
-	// fresh are those since the last line of the log.
-	fresh map[string]int
+	// unlogged counts the calls since the last line of the log, by kind, reason and error code.
+	unlogged map[string]int
 }
 
-// note counts one call.
-func (s *storeCalls) note(c platform.Call) {
+// record counts one call.
+func (s *storeCalls) record(c platform.Call) {
 	code := string(fault.CodeOf(c.Err))
 	s.metrics.Store(c.Kind).Record(string(c.Reason), code, c.Took)
 	name := c.Kind + "_" + string(c.Reason)
@@ -30,16 +30,16 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.fresh == nil {
-		s.fresh = make(map[string]int)
+	if s.unlogged == nil {
+		s.unlogged = make(map[string]int)
 	}
-	s.fresh[name]++
+	s.unlogged[name]++
 }
 
-// take returns what was counted since it was last called, the names in order.
+// take returns the calls counted since it was last called and resets the counts; names is sorted.
 func (s *storeCalls) take() (names []string, counts map[string]int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	counts, s.fresh = s.fresh, nil
+	counts, s.unlogged = s.unlogged, nil
 	return slices.SortedFunc(maps.Keys(counts), strings.Compare), counts
 }
