--- a/node/stop.go
+++ b/node/stop.go
@@ -18,9 +18,9 @@
 
 // grace tracks how long a planned stop may take.
 type grace struct {
-	// guaranteed is how long after a stop signal the node is certain not to be killed. max is how long it finishes work at the
+	// guaranteed is how long after a stop signal the node is certain not to be killed. maxTime is how long it finishes work at the
 	// most, unless it is killed earlier.
-	guaranteed, max time.Duration
+	guaranteed, maxTime time.Duration
 
 	mu    sync.Mutex
 	began time.Time
@@ -28,20 +28,20 @@
 }
 
 func newGrace(cfg settings.Stop) *grace {
-	return &grace{guaranteed: cfg.Grace.Std() - cfg.Margin.Std(), max: cfg.Grace.Std() + cfg.Overrun.Std()}
+	return &grace{guaranteed: cfg.Grace.Std() - cfg.Margin.Std(), maxTime: cfg.Grace.Std() + cfg.Overrun.Std()}
 }
 
-// begin starts the planned stop's clock and returns a context that is cancelled after max.
+// begin starts the planned stop's clock and returns a context that is cancelled after maxTime.
 func (g *grace) begin() (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.Background())
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.began = time.Now()
-	g.timer = time.AfterFunc(g.max, cancel)
+	g.timer = time.AfterFunc(g.maxTime, cancel)
 	return ctx, cancel
 }
 
-// renew restarts the time of max and returns how long ago the stop began, false if it has not begun.
+// renew lets maxTime count from now and returns how long ago the stop began, false if it has not begun.
 //
 // The sender of a repeated stop signal waits for the whole grace period again. A stop that counted from the first signal
 // alone would cut off requests that still have time.
@@ -51,7 +51,7 @@
 	if g.timer == nil {
 		return 0, false
 	}
-	g.timer.Reset(g.max)
+	g.timer.Reset(g.maxTime)
 	return time.Since(g.began), true
 }
 
