--- a/settings/doc.go
+++ b/settings/doc.go
@@ -1,2 +1,3 @@
-// Package settings reads a program's YAML file, checks it whole and names every fault with its line and field.
+// Package settings loads a program's YAML settings file over its defaults, validates it, and reports all errors at once, each
+// with its line and field.
 package settings
--- a/settings/fuzz_test.go
+++ b/settings/fuzz_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// FuzzDaemon reads arbitrary text as settings: an error at most, never a panic.
+// FuzzDaemon checks that parsing arbitrary text as settings never panics.
 func FuzzDaemon(f *testing.F) {
 	f.Add([]byte("node: {id: a, hall: b}"))
 	f.Add([]byte("peers: {seeds: [1, {a: b}], tls: 5}\nlog: {level: [x]}"))
--- a/settings/load.go
+++ b/settings/load.go
@@ -18,25 +18,27 @@
 	"github.com/lynxplank/lynxplank/fault"
 )
 
-// Load reads a file over the defaults in cfg; it returns every fault at once as a fault.ListError of BadSetting.
+// Load reads a settings file over the defaults in cfg. It returns all errors in the file at once, as a fault.ListError of
+// BadSetting.
 func Load[T any](path string, cfg *T) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return fault.Wrap(err, fault.BadSetting, path, "settings cannot be read")
+		return fault.Wrap(err, fault.BadSetting, path, "settings file cannot be read")
 	}
 	return Parse(path, text, cfg)
 }
 
-// Watch tells whether a settings file has changed since it last asked; reading is cheap beside parsing and checking.
+// Watch detects changes of a settings file. It compares the file's text, since reading is cheap compared to parsing and
+// validating.
 type Watch struct {
 	path string
 	text []byte
 }
 
-// NewWatch returns a watch of a file, of which it has seen nothing.
+// NewWatch returns a Watch whose first call of Changed reports a change, unless the file is empty.
 func NewWatch(path string) *Watch { return &Watch{path: path} }
 
-// Changed tells whether the file says something else than at the last call, or cannot be read.
+// Changed reports whether the file's text differs from that at the last call, or the file cannot be read.
 func (w *Watch) Changed() bool {
 	text, err := os.ReadFile(w.path)
 	if err == nil && bytes.Equal(text, w.text) {
@@ -46,7 +48,7 @@
 	return true
 }
 
-// Parse reads a text over the defaults in cfg; name stands for the file in the faults.
+// Parse parses YAML text over the defaults in cfg; name is the file name used in errors.
 func Parse[T any](name string, text []byte, cfg *T) error {
 	var root yaml.Node
 	if err := yaml.Unmarshal(text, &root); err != nil {
@@ -56,33 +58,36 @@
 	dec := yaml.NewDecoder(bytes.NewReader(text))
 	dec.KnownFields(true)
 	bad := decodeFaults(name, dec.Decode(cfg), fields)
-	return withoutRepeats(bad, checkFaults(name, cfg, fields)).OrNil()
+	return mergeFaults(bad, checkFaults(name, cfg, fields)).OrNil()
 }
 
-// withoutRepeats adds the faults of the second list for lines that the first does not name.
-func withoutRepeats(first, second fault.ListError) fault.ListError {
-	named := make(map[string]bool)
+// mergeFaults appends to first those faults of second whose location first does not contain.
+func mergeFaults(first, second fault.ListError) fault.ListError {
+	located := make(map[string]bool)
 	for _, f := range first {
-		named[f.Where] = true
+		located[f.Where] = true
 	}
 	for _, f := range second {
-		if !named[f.Where] {
+		if !located[f.Where] {
 			first = append(first, f)
 		}
 	}
 	return first
 }
 
-var lineOf = regexp.MustCompile(`^(?:yaml: )?line (\d+): (.*)$`)
+// linePrefix matches an error message of the YAML package with its line number.
+var linePrefix = regexp.MustCompile(`^(?:yaml: )?line (\d+): (.*)$`)
 
+// syntaxFault converts an error of the YAML parser.
 func syntaxFault(name string, err error) *fault.Error {
-	m := lineOf.FindStringSubmatch(err.Error())
+	m := linePrefix.FindStringSubmatch(err.Error())
 	if m == nil {
-		return fault.Wrap(err, fault.BadSetting, name, "not YAML")
+		return fault.Wrap(err, fault.BadSetting, name, "file is not valid YAML")
 	}
 	return fault.New(fault.BadSetting, name+":"+m[1], m[2])
 }
 
+// decodeFaults converts the errors of decoding into settings: values of the wrong type and unknown fields.
 func decodeFaults(name string, err error, fields []field) fault.ListError {
 	if err == nil || errors.Is(err, io.EOF) {
 		return nil
@@ -103,8 +108,9 @@
 	wrongType    = regexp.MustCompile(`^cannot unmarshal !!\w+ (.*) into (.*)$`)
 )
 
+// typeFault converts the text of a single decoding error.
 func typeFault(name, text string, fields []field) *fault.Error {
-	m := lineOf.FindStringSubmatch(text)
+	m := linePrefix.FindStringSubmatch(text)
 	if m == nil {
 		return fault.New(fault.BadSetting, name, text)
 	}
@@ -114,6 +120,7 @@
 	return fault.New(fault.BadSetting, where(name, line, pathAt(fields, line)), detail)
 }
 
+// where formats the location of an error.
 func where(name string, line int, path string) string {
 	out := name + ":" + strconv.Itoa(line)
 	if path != "" {
@@ -122,6 +129,7 @@
 	return out
 }
 
+// checkFaults validates settings against the rules in their validate tags.
 func checkFaults(name string, cfg any, fields []field) fault.ListError {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string {
@@ -152,9 +160,10 @@
 	return bad
 }
 
-// inlineListener is how the checker names the embedded section, which the file does not show.
+// inlineListener is the path element that the validator uses for the embedded Listener, which has no key in the file.
 const inlineListener = "Listener."
 
+// ruleText describes the violated validation rule.
 func ruleText(f validator.FieldError) string {
 	switch f.Tag() {
 	case "required", "required_with":
@@ -171,12 +180,13 @@
 
 func bound(f validator.FieldError) string { return f.Param() }
 
-// field is one key of the file.
+// field is a key or list element of the file, with its path and line.
 type field struct {
 	path string
 	line int
 }
 
+// fieldsByLine returns all fields of a document in the order of the file.
 func fieldsByLine(root *yaml.Node) []field {
 	var out []field
 	var walk func(n *yaml.Node, path string)
@@ -205,6 +215,7 @@
 	return out
 }
 
+// pathAt returns the path of the last field on a line, "" if there is none.
 func pathAt(fields []field, line int) string {
 	for _, f := range slices.Backward(fields) {
 		if f.line == line {
@@ -214,7 +225,8 @@
 	return ""
 }
 
-// nearest finds the field's line, or the line of the innermost section around it that the file has.
+// nearest returns the line and path of a field or, if the file does not contain the field, of the innermost enclosing section
+// that the file contains.
 func nearest(fields []field, path string) (line int, at string) {
 	for at = path; at != ""; {
 		i := slices.IndexFunc(fields, func(f field) bool { return f.path == at })
--- a/settings/script_test.go
+++ b/settings/script_test.go
@@ -6,7 +6,8 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// TestScripts reads each input of testdata as a node's settings and prints them whole, or every fault.
+// TestScripts parses each input of testdata/daemon as a node's settings. The output is all resolved settings ("ok" for the
+// command check) or all errors.
 func TestScripts(t *testing.T) {
 	datadriven.RunTest(t, "testdata/daemon", func(t *testing.T, d *datadriven.TestData) string {
 		cfg := DefaultDaemon()
--- a/settings/values.go
+++ b/settings/values.go
@@ -9,13 +9,13 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Duration is a time span written with its unit, such as "250ms".
+// Duration is a non-negative duration, written with its unit, such as "250ms".
 type Duration time.Duration
 
-// Std returns the span as the standard library's type.
+// Std returns the duration as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
-// UnmarshalYAML reads a span of zero or more.
+// UnmarshalYAML parses a duration of zero or more.
 func (d *Duration) UnmarshalYAML(n *yaml.Node) error {
 	v, err := time.ParseDuration(n.Value)
 	if err != nil || v < 0 {
@@ -25,13 +25,13 @@
 	return nil
 }
 
-// MarshalYAML writes the span with its unit.
+// MarshalYAML formats the duration with its unit.
 func (d Duration) MarshalYAML() (any, error) { return time.Duration(d).String(), nil }
 
 // Size is a number of bytes written with its unit, such as "64KiB".
 type Size int64
 
-// UnmarshalYAML reads a size of zero or more.
+// UnmarshalYAML parses a size of zero or more.
 func (s *Size) UnmarshalYAML(n *yaml.Node) error {
 	v, err := units.RAMInBytes(n.Value)
 	if err != nil || v < 0 {
@@ -41,15 +41,15 @@
 	return nil
 }
 
-// MarshalYAML writes the size with its unit.
+// MarshalYAML formats the size with its unit.
 func (s Size) MarshalYAML() (any, error) { return units.BytesSize(float64(s)), nil }
 
-// Address is an IP and port.
+// Address is an IP address and port; the zero value stands for an empty setting.
 type Address struct {
 	netip.AddrPort
 }
 
-// UnmarshalYAML reads an IP and port.
+// UnmarshalYAML parses an IP address and port, or an empty text.
 func (a *Address) UnmarshalYAML(n *yaml.Node) error {
 	if n.Value == "" {
 		a.AddrPort = netip.AddrPort{}
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// MarshalYAML writes the IP and port.
+// MarshalYAML formats the IP address and port, or returns an empty text for the zero value.
 func (a Address) MarshalYAML() (any, error) {
 	if !a.IsValid() {
 		return "", nil
@@ -71,10 +71,10 @@
 	return a.String(), nil
 }
 
-// Secret is a text that is never printed.
+// Secret is a string that is masked whenever it is printed.
 type Secret string
 
-// MarshalYAML writes a mask.
+// MarshalYAML returns a mask, or an empty text for an empty secret.
 func (s Secret) MarshalYAML() (any, error) {
 	if s == "" {
 		return "", nil
@@ -85,6 +85,7 @@
 // String returns a mask.
 func (s Secret) String() string { return "********" }
 
+// badValue returns the error for a value that is not of the wanted form, in the format of the YAML package's errors.
 func badValue(n *yaml.Node, want string) error {
 	return &yaml.TypeError{Errors: []string{fmt.Sprintf("line %d: want %s, got %q", n.Line, want, n.Value)}}
 }
--- a/settings/watch_test.go
+++ b/settings/watch_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// TestWatchSeesEachChangeOnce writes a file several times and checks when the watch tells of it.
+// TestWatchSeesEachChangeOnce writes a file several times and checks that Changed reports each change exactly once, and a
+// missing file at every call.
 func TestWatchSeesEachChangeOnce(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "node.yaml")
 	w := NewWatch(path)
@@ -18,7 +19,7 @@
 			t.Fatal(err)
 		}
 		if got := w.Changed(); got != c.want {
-			t.Errorf("look %d: got changed %v, want %v", i, got, c.want)
+			t.Errorf("call %d: got changed %v, want %v", i, got, c.want)
 		}
 	}
 	if err := os.Remove(path); err != nil {
