--- a/events/bound.go
+++ b/events/bound.go
@@ -12,157 +12,161 @@
 	"golang.org/x/time/rate"
 )
 
-// Limit is how much of the log one event may take.
+// Limit is the rate limit of an event's log lines.
 type Limit struct {
-	// Lines is how many lines a second it may write over time.
+	// Lines is the sustained number of lines a second.
 	Lines int
-	// Bytes is how many bytes a second these may have.
+	// Bytes is the sustained number of bytes a second.
 	Bytes int
 }
 
-// burstTime is how many seconds of its limit an event may write at once: a fault shows in many lines within a second.
+// burstTime is the burst of each limit, in seconds of its rate: a fault causes many lines within a second.
 const burstTime = 4
 
-// tellEvery is the least time between two lines that tell what was left out.
-const tellEvery = time.Second
+// reportInterval is the minimum time between two lines that report suppressed lines.
+const reportInterval = time.Second
 
 var (
-	// usualLimit is for what changes what the node believes and for failed requests: at 30 requests a second and node
-	// each may fail, with a line at either node. A line has about 300 bytes, that of a failed request up to 2,000.
-	usualLimit = Limit{Lines: 50, Bytes: 25 << 10}
-	// sampleLimit is for what happens to nearly every request: a sample is enough to see how it goes, and takes about
-	// 0.1% of a core (docs/MEASUREMENTS.md).
+	// defaultLimit is for failed requests and for changes of the node's view of the fleet. At 30 requests a second and node,
+	// every request may fail and be logged at both of its nodes. A line has about 300 bytes, that of a failed request up to
+	// 2,000.
+	defaultLimit = Limit{Lines: 50, Bytes: 25 << 10}
+	// sampleLimit is for events of nearly every request. A sample is enough to observe them, and costs about 0.1% of a core
+	// (docs/MEASUREMENTS.md).
 	sampleLimit = Limit{Lines: 10, Bytes: 5 << 10}
 )
 
-// limitOf returns an event's limit. Each event has its own, so that served requests never push failed ones out.
+// limitOf returns an event's limit. Each event has its own, so that lines of served requests never displace those of failed
+// requests.
 func limitOf(event int) Limit {
 	switch event {
 	case RequestServed.Number, OfferRefused.Number, OlderConfigUsed.Number, RequestRetried.Number, RequestHedged.Number:
 		return sampleLimit
 	}
-	return usualLimit
+	return defaultLimit
 }
 
-// Bound passes each event's lines on as far as its limit allows, and counts those that it leaves out.
+// LimitedWriter passes log lines on within each event's limit. It suppresses the other lines, counts them, and reports their
+// number in lines of their own.
 type LimitedWriter struct {
 	out io.Writer
 	now func() time.Time
 
-	mu         sync.Mutex
-	allowances map[int]*allowance
-	// untold counts the lines of each event that were left out since that was told last, at toldAt.
-	untold map[string]int
-	toldAt time.Time
-	// seen counts the lines of each event, written or not, left all those that were left out.
-	seen map[int]uint64
-	left uint64
+	mu       sync.Mutex
+	limiters map[int]*eventLimiter
+	// unreported counts the suppressed lines of each event since the last report of them, at reportedAt.
+	unreported map[string]int
+	reportedAt time.Time
+	// seen counts the lines of each event, written or suppressed. suppressed counts the suppressed lines of all events.
+	seen       map[int]uint64
+	suppressed uint64
 }
 
-// allowance is what an event may still write.
-type allowance struct {
+// eventLimiter enforces an event's limit.
+type eventLimiter struct {
 	lines *rate.Limiter
 	bytes *rate.Limiter
 }
 
-func newAllowance(limit Limit) *allowance {
-	return &allowance{
+func newEventLimiter(limit Limit) *eventLimiter {
+	return &eventLimiter{
 		lines: rate.NewLimiter(rate.Limit(limit.Lines), burstTime*limit.Lines),
 		bytes: rate.NewLimiter(rate.Limit(limit.Bytes), burstTime*limit.Bytes),
 	}
 }
 
-// take takes a line of some bytes if both limits have room for it; a line that does not fit takes nothing.
-func (a *allowance) take(now time.Time, size int) bool {
-	if a.lines.TokensAt(now) < 1 || a.bytes.TokensAt(now) < float64(size) {
+// allow reports whether a line of the given size is within both limits, and counts it against them if so.
+func (l *eventLimiter) allow(now time.Time, size int) bool {
+	if l.lines.TokensAt(now) < 1 || l.bytes.TokensAt(now) < float64(size) {
 		return false
 	}
-	return a.lines.AllowN(now, 1) && a.bytes.AllowN(now, size)
+	return l.lines.AllowN(now, 1) && l.bytes.AllowN(now, size)
 }
 
-// NewBound returns a bound in front of out; now gives the time.
+// NewLimitedWriter returns a LimitedWriter to out; now returns the current time.
 func NewLimitedWriter(out io.Writer, now func() time.Time) *LimitedWriter {
 	return &LimitedWriter{
-		out: out, now: now, toldAt: now(),
-		allowances: make(map[int]*allowance), untold: make(map[string]int), seen: make(map[int]uint64),
+		out: out, now: now, reportedAt: now(),
+		limiters: make(map[int]*eventLimiter), unreported: make(map[string]int), seen: make(map[int]uint64),
 	}
 }
 
-// Write takes one line.
-func (b *LimitedWriter) Write(line []byte) (int, error) {
+// Write passes one log line on, or counts it as suppressed if its event is over its limit.
+func (w *LimitedWriter) Write(line []byte) (int, error) {
 	event := eventOf(line)
-	b.mu.Lock()
-	now := b.now()
-	fits := b.allow(now, event, len(line))
-	b.seen[event]++
+	w.mu.Lock()
+	now := w.now()
+	fits := w.allow(now, event, len(line))
+	w.seen[event]++
 	if !fits {
-		b.left++
-		b.untold[strconv.Itoa(event)]++
+		w.suppressed++
+		w.unreported[strconv.Itoa(event)]++
 	}
-	note := b.tell(now, false)
-	b.mu.Unlock()
-	if note != nil {
-		if _, err := b.out.Write(note); err != nil {
+	report := w.report(now, false)
+	w.mu.Unlock()
+	if report != nil {
+		if _, err := w.out.Write(report); err != nil {
 			return 0, err
 		}
 	}
 	if !fits {
 		return len(line), nil
 	}
-	return b.out.Write(line)
+	return w.out.Write(line)
 }
 
-// Counts returns how many lines there were of each event, written or not, and how many were left out.
-func (b *LimitedWriter) Counts() (seen map[int]uint64, left uint64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return maps.Clone(b.seen), b.left
+// Counts returns the number of lines of each event, written or suppressed, and the number of all suppressed lines.
+func (w *LimitedWriter) Counts() (seen map[int]uint64, suppressed uint64) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return maps.Clone(w.seen), w.suppressed
 }
 
-// Flush tells what was left out since it was told last.
-func (b *LimitedWriter) Flush() {
-	b.mu.Lock()
-	note := b.tell(b.now(), true)
-	b.mu.Unlock()
-	if note != nil {
-		_, _ = b.out.Write(note)
+// Flush writes a report of the suppressed lines that have not been reported yet.
+func (w *LimitedWriter) Flush() {
+	w.mu.Lock()
+	report := w.report(w.now(), true)
+	w.mu.Unlock()
+	if report != nil {
+		_, _ = w.out.Write(report)
 	}
 }
 
-// allow takes a line from its event's allowance; the lock is held.
-func (b *LimitedWriter) allow(now time.Time, event, size int) bool {
-	a := b.allowances[event]
-	if a == nil {
-		a = newAllowance(limitOf(event))
-		b.allowances[event] = a
+// allow counts a line against its event's limit and reports whether it is within the limit; the lock is held.
+func (w *LimitedWriter) allow(now time.Time, event, size int) bool {
+	l := w.limiters[event]
+	if l == nil {
+		l = newEventLimiter(limitOf(event))
+		w.limiters[event] = l
 	}
-	return a.take(now, size)
+	return l.allow(now, size)
 }
 
-// tell returns a line with what was left out, nil if there is nothing to tell yet; the lock is held.
-func (b *LimitedWriter) tell(now time.Time, atOnce bool) []byte {
-	if len(b.untold) == 0 || !atOnce && now.Sub(b.toldAt) < tellEvery {
+// report returns a log line with the number of suppressed lines of each event. It returns nil if there are none or, unless
+// force is set, if the last report is too recent. The lock is held. The line's field for them is left_out.
+func (w *LimitedWriter) report(now time.Time, force bool) []byte {
+	if len(w.unreported) == 0 || !force && now.Sub(w.reportedAt) < reportInterval {
 		return nil
 	}
 	line, err := json.Marshal(struct {
-		Level   string         `json:"level"`
-		Event   int            `json:"event"`
-		Name    string         `json:"name"`
-		LeftOut map[string]int `json:"left_out"`
-		Time    string         `json:"time"`
-	}{LinesSuppressed.Level.String(), LinesSuppressed.Number, LinesSuppressed.Name, b.untold, now.Format(time.RFC3339Nano)})
+		Level      string         `json:"level"`
+		Event      int            `json:"event"`
+		Name       string         `json:"name"`
+		Suppressed map[string]int `json:"left_out"`
+		Time       string         `json:"time"`
+	}{LinesSuppressed.Level.String(), LinesSuppressed.Number, LinesSuppressed.Name, w.unreported, now.Format(time.RFC3339Nano)})
 	if err != nil {
 		return nil
 	}
-	clear(b.untold)
-	b.toldAt = now
+	clear(w.unreported)
+	w.reportedAt = now
 	return append(line, '\n')
 }
 
-// eventKey stands before an event's number in its line.
+// eventKey precedes the event's number in a log line.
 var eventKey = []byte(`"event":`)
 
-// eventOf reads the number of a line's event, 0 for a line without one.
+// eventOf returns the number of a line's event, 0 for a line without an event.
 func eventOf(line []byte) int {
 	at := bytes.Index(line, eventKey)
 	if at < 0 {
--- a/events/bound_test.go
+++ b/events/bound_test.go
@@ -10,8 +10,8 @@
 	"github.com/rs/zerolog"
 )
 
-// TestBoundKeepsFailedLines floods the log with served requests and some failed ones: what an event may write is
-// bounded, none pushes another out, and what was left out is told by event.
+// TestBoundKeepsFailedLines floods the log with lines of served requests and adds some of failed ones. Each event is limited,
+// no event displaces another, and the suppressed lines are reported by event.
 func TestBoundKeepsFailedLines(t *testing.T) {
 	var out bytes.Buffer
 	now := time.Unix(1000, 0)
@@ -28,39 +28,39 @@
 		now = now.Add(time.Second)
 	}
 	b.Flush()
-	lines, left := make(map[int]int), 0
+	lines, suppressed := make(map[int]int), 0
 	for _, line := range strings.Split(strings.TrimSpace(out.String()), "\n") {
 		var l struct {
-			Event   int            `json:"event"`
-			LeftOut map[string]int `json:"left_out"`
+			Event      int            `json:"event"`
+			Suppressed map[string]int `json:"left_out"`
 		}
 		if err := json.Unmarshal([]byte(line), &l); err != nil {
 			t.Fatalf("%s: %v", line, err)
 		}
 		lines[l.Event]++
-		left += l.LeftOut["503"]
+		suppressed += l.Suppressed["503"]
 	}
-	if got, most := lines[RequestServed.Number], (burstTime+seconds)*sampleLimit.Lines; got > most || got < seconds {
-		t.Errorf("lines of served requests: got %d, want at most %d", got, most)
+	if got, limit := lines[RequestServed.Number], (burstTime+seconds)*sampleLimit.Lines; got > limit || got < seconds {
+		t.Errorf("lines of served requests: got %d, want at most %d", got, limit)
 	}
 	if got, want := lines[RequestFailed.Number], seconds*failed; got != want {
 		t.Errorf("lines of failed requests: got %d, want %d", got, want)
 	}
-	if got, want := left+lines[RequestServed.Number], seconds*served; got != want {
-		t.Errorf("lines of served requests and told as left out: got %d, want %d", got, want)
+	if got, want := suppressed+lines[RequestServed.Number], seconds*served; got != want {
+		t.Errorf("lines of served requests, written or reported as suppressed: got %d, want %d", got, want)
 	}
 }
 
-// TestBoundBoundsBytes checks that long lines do not get past the bytes' limit.
+// TestBoundBoundsBytes checks that long lines are limited by their bytes.
 func TestBoundBoundsBytes(t *testing.T) {
 	var out bytes.Buffer
 	now := time.Unix(1000, 0)
 	log := zerolog.New(NewLimitedWriter(&out, func() time.Time { return now }))
-	for range usualLimit.Lines {
+	for range defaultLimit.Lines {
 		RequestFailed.Log(&log).Str("trail", strings.Repeat("x", 4<<10)).Send()
 	}
-	if got, most := out.Len(), burstTime*usualLimit.Bytes; got > most || got == 0 {
-		t.Errorf("bytes: got %d, want at most %d", got, most)
+	if got, limit := out.Len(), burstTime*defaultLimit.Bytes; got > limit || got == 0 {
+		t.Errorf("bytes: got %d, want at most %d", got, limit)
 	}
 }
 
--- a/events/catalogue_test.go
+++ b/events/catalogue_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// TestCatalogue holds docs/EVENTS.md and the code together: the same numbers, names and levels, each number once.
+// TestCatalogue checks that docs/EVENTS.md and the code list the same numbers, names and levels, and each number once.
 func TestCatalogue(t *testing.T) {
 	text, err := os.ReadFile("../docs/EVENTS.md")
 	if err != nil {
@@ -18,7 +18,7 @@
 	for _, m := range row.FindAllStringSubmatch(string(text), -1) {
 		n, _ := strconv.Atoi(m[1])
 		if _, ok := documented[n]; ok {
-			t.Errorf("event %d: stands twice in the catalogue", n)
+			t.Errorf("event %d: appears twice in the catalogue", n)
 		}
 		documented[n] = m[2] + " " + m[3]
 	}
--- a/events/doc.go
+++ b/events/doc.go
@@ -1,2 +1,3 @@
-// Package events numbers every event that the programs log; docs/EVENTS.md is the catalogue.
+// Package events defines the numbered events that the programs log, and limits how many log lines each event may write.
+// docs/EVENTS.md is the catalogue of events.
 package events
--- a/events/events.go
+++ b/events/events.go
@@ -2,13 +2,13 @@
 
 import "github.com/rs/zerolog"
 
-// Event is one numbered kind of log line; a number never changes its meaning.
+// Event is a numbered kind of log line. The meaning of a number never changes.
 type Event struct {
-	// Number identifies the event.
+	// Number identifies the event in the log and in the catalogue.
 	Number int
-	// Name says what happened.
+	// Name describes the event in the log. Some names keep older terms than the code, as operators' tools match them.
 	Name string
-	// Level is the level it is logged at.
+	// Level is the level at which the event is logged.
 	Level zerolog.Level
 }
 
@@ -85,7 +85,7 @@
 	RequestRefused, RequestFailed, AnswerRecovered, RequestServed, ServedLate, RequestRetried, RequestHedged,
 }
 
-// Log begins a log line of the event; the caller adds fields and sends it.
+// Log starts a log line of the event; the caller adds fields and sends it.
 func (e Event) Log(log *zerolog.Logger) *zerolog.Event {
 	return log.WithLevel(e.Level).Int("event", e.Number).Str("name", e.Name)
 }
--- a/events/writer_test.go
+++ b/events/writer_test.go
@@ -10,8 +10,8 @@
 	"github.com/rs/zerolog"
 )
 
-// TestWriterNeverWaits checks that a reader which takes nothing holds up nobody, and that it is told what it missed:
-// by the ring alone what it could not hold, by the whole writer what was over an event's limit.
+// TestWriterNeverWaits checks that a reader that reads nothing does not block the writers of log lines, and that lost lines are
+// reported: by the ring alone those that it had no capacity for, by the whole Writer those over an event's limit.
 func TestWriterNeverWaits(t *testing.T) {
 	cases := map[string]struct {
 		open func(out io.Writer) (io.Writer, func())
@@ -29,9 +29,9 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			r, pipe := io.Pipe()
-			w, end := c.open(pipe)
+			w, closeWriter := c.open(pipe)
 			log := zerolog.New(w)
-			const lines = 3 * backlog
+			const lines = 3 * ringSize
 			done := make(chan struct{})
 			go func() {
 				defer close(done)
@@ -42,7 +42,7 @@
 			select {
 			case <-done:
 			case <-time.After(30 * time.Second):
-				t.Fatal("got lines that wait for a reader, want none")
+				t.Fatal("writing log lines: got blocked by the reader, want no wait")
 			}
 			var got bytes.Buffer
 			read := make(chan struct{})
@@ -50,7 +50,7 @@
 				defer close(read)
 				_, _ = io.Copy(&got, r)
 			}()
-			end()
+			closeWriter()
 			_ = pipe.Close()
 			<-read
 			if !strings.Contains(got.String(), c.want) {
