--- a/metrics/doc.go
+++ b/metrics/doc.go
@@ -1,3 +1,3 @@
-// Package metrics counts and times the node's work with tally and shows it in the Prometheus text format. Histograms
-// are kept for each service, each kind of call to the store and each customer, up to a bounded number; the rest share one.
+// Package metrics records the node's metrics with tally and exposes them in the Prometheus text format. Each service, each kind
+// of call to the platform's store and each customer has its own instruments, up to a maximum number; the rest share one set.
 package metrics
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -15,60 +15,62 @@
 )
 
 const (
-	// reportEvery is the time between two reports of the instruments to the registry.
-	reportEvery = time.Second
-	// mostCustomers, mostServices and mostCalls bound the instruments; what comes after shares those of others.
-	mostCustomers = 100
-	mostServices  = 200
-	mostCalls     = 200
-	others        = "other"
-	// firstBucket, bucketFactor and bucketCount make the histograms' buckets: from 0.5 ms, doubling, to about 16 s.
+	// reportInterval is the time between two reports of the instruments to the Prometheus registry.
+	reportInterval = time.Second
+	// maxCustomers, maxServices and maxCalls limit the number of instruments. Names seen after the limit is reached share the
+	// instruments of the name in others.
+	maxCustomers = 100
+	maxServices  = 200
+	maxCalls     = 200
+	others       = "other"
+	// firstBucket, bucketFactor and bucketCount define the histograms' buckets: doubling from 0.5 ms to about 16 s.
 	firstBucket  = time.Millisecond / 2
 	bucketFactor = 2
 	bucketCount  = 16
 )
 
-// Metrics is the node's registry; it is safe for concurrent use.
+// Metrics holds the node's instruments; it is safe for concurrent use.
 type Metrics struct {
 	root      tally.Scope
 	closer    io.Closer
 	reporter  tallyprom.Reporter
 	services  bounded[*ServiceMetrics]
 	customers bounded[tally.Histogram]
-	limits    bounded[*limited]
+	limits    bounded[*customerLimit]
 	calls     bounded[*StoreCalls]
 	buckets   tally.Buckets
 }
 
-// Call holds the instruments of one kind of call to the platform's store.
+// StoreCalls holds the instruments of one kind of call to the platform's store.
 type StoreCalls struct {
 	latency tally.Histogram
 	scope   tally.Scope
 }
 
-// Done counts one call by what it was for and the code of its failure, "" for none.
+// Record counts and times a call, by its reason and its error code, "" for success.
 func (c *StoreCalls) Record(reason, code string, took time.Duration) {
 	c.latency.RecordDuration(took)
 	c.scope.Tagged(map[string]string{"reason": reason, "code": code}).Counter("store_calls").Inc(1)
 }
 
-// Class holds the instruments of one service.
+// ServiceMetrics holds the instruments of one service.
 type ServiceMetrics struct {
-	// Latency is the time from the request's arrival to its answer's end, by the ingress.
+	// Latency is the time from the request's arrival at the ingress to the end of its answer.
 	Latency tally.Histogram
-	// Retries counts further sends.
+	// Retries counts the retries of requests.
 	Retries tally.Counter
-	// Work is the time that endpoints took, by the ingress that sent the work.
+	// Work is the time that endpoints took for requests, as measured by the ingress that sent them.
 	Work  tally.Histogram
 	scope tally.Scope
 
 	mu sync.RWMutex
-	// ends are the counters of requests and asked those of endpoints asked, by outcome and code.
-	ends  map[string]tally.Counter
-	asked map[string]tally.Counter
+	// requests counts requests and sends counts sends of requests to endpoints, both by outcome and code. The outer name of the
+	// latter is asked.
+	requests map[string]tally.Counter
+	sends    map[string]tally.Counter
 }
 
-// New returns a registry, Internal when the reporter cannot be built.
+// New returns the node's instruments; it fails with Internal if the histograms' buckets cannot be built.
 func New() (*Metrics, error) {
 	registry := prometheus.NewRegistry()
 	reporter := tallyprom.NewReporter(tallyprom.Options{
@@ -79,30 +81,30 @@
 	root, closer := tally.NewRootScope(tally.ScopeOptions{
 		Prefix: "lynxplank", CachedReporter: reporter, Separator: tallyprom.DefaultSeparator,
 		OmitCardinalityMetrics: true,
-	}, reportEvery)
+	}, reportInterval)
 	buckets, err := tally.ExponentialDurationBuckets(firstBucket, bucketFactor, bucketCount)
 	if err != nil {
-		return nil, fault.Wrap(err, fault.Internal, "metrics", "buckets cannot be built")
+		return nil, fault.Wrap(err, fault.Internal, "metrics", "histogram buckets cannot be built")
 	}
 	m := &Metrics{root: root, closer: closer, reporter: reporter, buckets: buckets}
-	m.services = bounded[*ServiceMetrics]{most: mostServices, make: m.newClass}
-	m.calls = bounded[*StoreCalls]{most: mostCalls, make: m.newCall}
-	m.customers = bounded[tally.Histogram]{most: mostCustomers, make: m.newCustomer}
-	m.limits = bounded[*limited]{most: mostCustomers, make: m.newLimited}
+	m.services = bounded[*ServiceMetrics]{maxNames: maxServices, create: m.newServiceMetrics}
+	m.calls = bounded[*StoreCalls]{maxNames: maxCalls, create: m.newStoreCalls}
+	m.customers = bounded[tally.Histogram]{maxNames: maxCustomers, create: m.newCustomer}
+	m.limits = bounded[*customerLimit]{maxNames: maxCustomers, create: m.newCustomerLimit}
 	return m, nil
 }
 
-func (m *Metrics) newClass(service string) *ServiceMetrics {
+func (m *Metrics) newServiceMetrics(service string) *ServiceMetrics {
 	scope := m.root.Tagged(map[string]string{"service": service})
 	return &ServiceMetrics{
 		Latency: scope.Histogram("request_seconds", m.buckets),
 		Retries: scope.Counter("retries"),
 		Work:    scope.Histogram("work_seconds", m.buckets),
-		scope:   scope, ends: make(map[string]tally.Counter), asked: make(map[string]tally.Counter),
+		scope:   scope, requests: make(map[string]tally.Counter), sends: make(map[string]tally.Counter),
 	}
 }
 
-func (m *Metrics) newCall(kind string) *StoreCalls {
+func (m *Metrics) newStoreCalls(kind string) *StoreCalls {
 	scope := m.root.Tagged(map[string]string{"call": kind})
 	return &StoreCalls{latency: scope.Histogram("store_seconds", m.buckets), scope: scope}
 }
@@ -114,23 +116,23 @@
 	return m.root.Tagged(map[string]string{"customer": name}).Histogram("customer_request_seconds", m.buckets)
 }
 
-// Service returns the instruments of a service; past a bounded number all share one.
+// Service returns the instruments of a service; services beyond a maximum number share one set.
 func (m *Metrics) Service(name string) *ServiceMetrics { return m.services.get(name) }
 
-// Customer returns the latency histogram of a customer; past a bounded number all share one.
+// Customer returns the latency histogram of a customer; customers beyond a maximum number share one histogram.
 func (m *Metrics) Customer(name string) tally.Histogram { return m.customers.get(name) }
 
-// limited are the counters of a customer with a limit.
-type limited struct {
+// customerLimit holds the counters of a customer with a rate limit.
+type customerLimit struct {
 	passed, refused tally.Counter
 }
 
-func (m *Metrics) newLimited(name string) *limited {
+func (m *Metrics) newCustomerLimit(name string) *customerLimit {
 	scope := m.root.Tagged(map[string]string{"customer": name})
-	return &limited{passed: scope.Counter("limit_passed"), refused: scope.Counter("limit_refused")}
+	return &customerLimit{passed: scope.Counter("limit_passed"), refused: scope.Counter("limit_refused")}
 }
 
-// Limited counts a send of a customer with a limit that passed, or a request that was refused as beyond it.
+// Limited counts either a send that passed a customer's rate limit, or a request that was refused as beyond the limit.
 func (m *Metrics) Limited(customer string, passed bool) {
 	l := m.limits.get(customer)
 	if passed {
@@ -140,7 +142,7 @@
 	l.refused.Inc(1)
 }
 
-// StopOutlasted counts requests that outlast the grace of a planned stop, by how far they have come.
+// StopOutlasted counts requests that outlast the grace of a planned stop, by their processing stage.
 func (m *Metrics) StopOutlasted(stage string, count int64) {
 	m.root.Tagged(map[string]string{"stage": stage}).Counter("stop_outlasted").Inc(count)
 }
@@ -148,57 +150,58 @@
 // Gauge sets a node-wide gauge.
 func (m *Metrics) Gauge(name string, value float64) { m.root.Gauge(name).Update(value) }
 
-// Events adds to the count of a numbered event of the log.
+// Events adds to the number of log lines of an event; event is its number.
 func (m *Metrics) Events(event string, count int64) {
 	m.root.Tagged(map[string]string{"event": event}).Counter("events").Inc(count)
 }
 
-// Count counts one request by its outcome and code.
-func (c *ServiceMetrics) CountRequest(outcome, code string) {
-	c.count(c.ends, "requests", outcome, code)
+// CountRequest counts a request by its outcome and code.
+func (s *ServiceMetrics) CountRequest(outcome, code string) {
+	s.count(s.requests, "requests", outcome, code)
 }
 
-// Asked counts one endpoint that was asked for a request, by what came of it.
-func (c *ServiceMetrics) CountSend(outcome, code string) {
-	c.count(c.asked, "asked", outcome, code)
+// CountSend counts a send of a request to an endpoint by its outcome and code.
+func (s *ServiceMetrics) CountSend(outcome, code string) {
+	s.count(s.sends, "asked", outcome, code)
 }
 
-// count adds one to the counter of an outcome and code, which it makes unless it is among those already made.
-func (c *ServiceMetrics) count(made map[string]tally.Counter, name, outcome, code string) {
+// count increments the counter of an outcome and code. It creates the counter if counters does not contain it yet.
+func (s *ServiceMetrics) count(counters map[string]tally.Counter, name, outcome, code string) {
 	key := outcome + "/" + code
-	c.mu.RLock()
-	counter := made[key]
-	c.mu.RUnlock()
+	s.mu.RLock()
+	counter := counters[key]
+	s.mu.RUnlock()
 	if counter == nil {
-		counter = c.scope.Tagged(map[string]string{"outcome": outcome, "code": code}).Counter(name)
-		c.mu.Lock()
-		made[key] = counter
-		c.mu.Unlock()
+		counter = s.scope.Tagged(map[string]string{"outcome": outcome, "code": code}).Counter(name)
+		s.mu.Lock()
+		counters[key] = counter
+		s.mu.Unlock()
 	}
 	counter.Inc(1)
 }
 
-// Handler shows every instrument in the Prometheus text format.
+// Handler returns the HTTP handler that exposes all instruments in the Prometheus text format.
 func (m *Metrics) Handler() http.Handler { return m.reporter.HTTPHandler() }
 
-// Start is part of the component's interface; the reporting runs from New on.
+// Start implements the kernel's component interface; it does nothing, as reporting runs from New on.
 func (m *Metrics) Start(context.Context) error { return nil }
 
-// Stop ends the reporting.
+// Stop ends the reporting of the instruments.
 func (m *Metrics) Stop(context.Context) error { return m.closer.Close() }
 
-// bounded makes a value for each of the first names and one more that all the others share.
+// bounded creates a value for each of the first maxNames names, and one more value that all other names share.
 type bounded[T any] struct {
-	mu     sync.RWMutex
-	most   int
-	make   func(string) T
-	values map[string]T
+	mu       sync.RWMutex
+	maxNames int
+	create   func(string) T
+	values   map[string]T
 }
 
+// get returns the value of a name, created on first use.
 func (b *bounded[T]) get(name string) T {
 	b.mu.RLock()
 	v, ok := b.values[name]
-	full := len(b.values) >= b.most
+	full := len(b.values) >= b.maxNames
 	b.mu.RUnlock()
 	if ok {
 		return v
@@ -214,7 +217,7 @@
 	if b.values == nil {
 		b.values = make(map[string]T)
 	}
-	v = b.make(name)
+	v = b.create(name)
 	b.values[name] = v
 	return v
 }
--- a/operator/doc.go
+++ b/operator/doc.go
@@ -1,2 +1,3 @@
-// Package operator answers operators on a listener of its own: status, explanations and metrics of one node.
+// Package operator serves the HTTP API for operators on a separate listener: the status, the routing explanations and the
+// metrics of one node.
 package operator
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -20,66 +20,68 @@
 
 // The paths of the operators' listener.
 const (
-	// PathHealth answers without a token whether the node may serve.
+	// PathHealth answers 200 if the node is ready to serve, else 503; it needs no token.
 	PathHealth = "/healthz"
-	// PathStatus answers Status.
+	// PathStatus returns the node's Status.
 	PathStatus = "/v1/status"
-	// PathExplain answers a list of director.Explanation for the query's "service", or all.
+	// PathExplain returns a list of director.Explanation for the service in the query parameter "service", or for all services.
 	PathExplain = "/v1/explain"
-	// PathCustomers answers a list of ratelimit.Use, the customers with a limit that the node has met.
+	// PathCustomers returns a list of ratelimit.Usage for the customers with a limit that the node has seen requests of.
 	PathCustomers = "/v1/customers"
-	// PathLeftOut answers a list of skipped.Entry, what the node could not understand and left out.
+	// PathSkipped returns a list of skipped.Entry, the entries that the node could not decode.
 	PathSkipped = "/v1/leftout"
-	// PathRow answers the row in force of the query's "kind" and "key".
+	// PathRow returns the active Row of the query parameters "kind" and "key".
 	PathRow = "/v1/row"
-	// PathProfile answers a processor profile of the query's "seconds".
+	// PathProfile returns a CPU profile over the number of seconds in the query parameter "seconds".
 	PathProfile = "/debug/pprof/profile"
-	// PathMetrics answers the metrics in text.
+	// PathMetrics returns the metrics in the Prometheus text format.
 	PathMetrics = "/metrics"
 )
 
-// Status is what a node says of itself.
+// Status is the report of a node's own state.
 type Status struct {
 	// Node is the node's id.
 	Node string `json:"node"`
-	// Hall is its hall.
+	// Hall is the node's hall.
 	Hall string `json:"hall"`
-	// Ready is false until it may serve.
+	// Ready reports whether the node may serve requests.
 	Ready bool `json:"ready"`
-	// Revision is the revision in force.
+	// Revision is the active revision of the table.
 	Revision uint64 `json:"revision"`
-	// Config and HostsRevision are the platform's configuration and the list of hosts in force, by their versions.
+	// Config and HostsRevision are the versions of the platform's configuration and of the list of hosts that are active.
 	Config        uint64 `json:"config"`
 	HostsRevision uint64 `json:"hosts_revision"`
-	// ReadsOwn and ReadsConfig tell whether it reads the product's own table and the configuration from the platform itself.
+	// ReadsOwn and ReadsConfig report whether the node reads the product's table and the configuration directly from the
+	// platform.
 	ReadsOwn    bool `json:"reads_own"`
 	ReadsConfig bool `json:"reads_config"`
-	// Hosts is the length of the host list that it holds.
+	// Hosts is the number of hosts in the node's list of hosts.
 	Hosts int `json:"hosts"`
-	// LinksDialed and LinksAccepted count its links to peers.
+	// LinksDialed and LinksAccepted are the numbers of the node's open links to peers, by which side opened them.
 	LinksDialed   int `json:"links_dialed"`
 	LinksAccepted int `json:"links_accepted"`
-	// PeerBytes counts the bytes read from and written to peers since the start.
+	// PeerBytes is the number of bytes read from and written to peers since the start.
 	PeerBytes uint64 `json:"peer_bytes"`
-	// Keys counts the idempotency keys at home here.
+	// Keys is the number of idempotency keys that the node owns.
 	Keys int `json:"keys"`
-	// Process is what the node's process has used.
+	// Process is the resource usage of the node's process.
 	Process Process `json:"process"`
-	// Endpoints are those beside the node that have had work.
+	// Endpoints are the endpoints beside the node that have received requests.
 	Endpoints []egress.Status `json:"endpoints"`
 }
 
-// Process is what a node's process has used since it started, by Go's runtime metrics.
+// Process is the resource usage of a node's process, read from Go's runtime metrics.
 type Process struct {
-	// Allocations counts heap objects.
+	// Allocations is the number of heap objects allocated since the process started.
 	Allocations uint64 `json:"allocations"`
 	// HeapBytes is the size of the live heap.
 	HeapBytes uint64 `json:"heap_bytes"`
-	// Goroutines counts the live ones.
+	// Goroutines is the number of live goroutines.
 	Goroutines uint64 `json:"goroutines"`
 }
 
-func process() Process {
+// processUsage reads the usage of this process.
+func processUsage() Process {
 	samples := []metrics.Sample{
 		{Name: "/gc/heap/allocs:objects"}, {Name: "/memory/classes/heap/objects:bytes"}, {Name: "/sched/goroutines:goroutines"},
 	}
@@ -89,28 +91,28 @@
 	}
 }
 
-// Row is a row in force.
+// Row is an active row of the table.
 type Row struct {
-	// Kind is the sheet's name.
+	// Kind is the name of the sheet that contains the row.
 	Kind string `json:"kind"`
 	// Key is the row's key.
 	Key string `json:"key"`
-	// Version and Revision are the row's.
+	// Version is the row's version. Revision is the table revision in which the row last changed.
 	Version  uint64 `json:"version"`
 	Revision uint64 `json:"revision"`
-	// Cells are the values by column.
+	// Cells are the row's values by column name.
 	Cells map[string]string `json:"cells"`
 }
 
-// Links counts a node's links and their bytes.
+// Links reports the number of a node's links to peers and of the bytes that they carried.
 type Links interface {
-	// Links returns the number of dialed and accepted links.
+	// Links returns the numbers of links that this node dialed and accepted.
 	Links() (dialed, accepted int)
 	// Bytes returns the bytes read and written since the start.
 	Bytes() uint64
 }
 
-// Operator answers operators.
+// Operator handles the requests of the operators' listener.
 type Operator struct {
 	node, hall string
 	token      string
@@ -120,18 +122,18 @@
 	director   *director.Director
 	links      Links
 	limits     *ratelimit.Limiter
-	leftOut    *skipped.List
+	skipped    *skipped.List
 	metrics    http.Handler
 }
 
-// New returns the answers of one node; token must come with every request but that for health.
+// New returns the Operator of a node. Every request except those to PathHealth must carry token.
 func New(
 	node, hall, token string, snapshot func() *configsync.Snapshot, reads func() (own, config bool),
-	e *egress.Egress, d *director.Director, l Links, limits *ratelimit.Limiter, leftOut *skipped.List, metrics http.Handler,
+	e *egress.Egress, d *director.Director, l Links, limits *ratelimit.Limiter, skippedEntries *skipped.List, metrics http.Handler,
 ) *Operator {
 	return &Operator{
 		node: node, hall: hall, token: token, snapshot: snapshot, reads: reads,
-		egress: e, director: d, links: l, limits: limits, leftOut: leftOut, metrics: metrics,
+		egress: e, director: d, links: l, limits: limits, skipped: skippedEntries, metrics: metrics,
 	}
 }
 
@@ -139,22 +141,23 @@
 func (o *Operator) Routes() []rest.Route {
 	return []rest.Route{
 		{Method: http.MethodGet, Path: PathHealth, Handler: o.health},
-		{Method: http.MethodGet, Path: PathStatus, Handler: o.guarded(o.status)},
-		{Method: http.MethodGet, Path: PathExplain, Handler: o.guarded(o.explain)},
-		{Method: http.MethodGet, Path: PathCustomers, Handler: o.guarded(o.customers)},
-		{Method: http.MethodGet, Path: PathSkipped, Handler: o.guarded(o.leftOutEntries)},
-		{Method: http.MethodGet, Path: PathRow, Handler: o.guarded(o.row)},
-		{Method: http.MethodGet, Path: PathProfile, Handler: o.guarded(pprof.Profile)},
-		{Method: http.MethodGet, Path: PathMetrics, Handler: o.guarded(o.metrics.ServeHTTP)},
+		{Method: http.MethodGet, Path: PathStatus, Handler: o.authorized(o.status)},
+		{Method: http.MethodGet, Path: PathExplain, Handler: o.authorized(o.explain)},
+		{Method: http.MethodGet, Path: PathCustomers, Handler: o.authorized(o.customers)},
+		{Method: http.MethodGet, Path: PathSkipped, Handler: o.authorized(o.skippedEntries)},
+		{Method: http.MethodGet, Path: PathRow, Handler: o.authorized(o.row)},
+		{Method: http.MethodGet, Path: PathProfile, Handler: o.authorized(pprof.Profile)},
+		{Method: http.MethodGet, Path: PathMetrics, Handler: o.authorized(o.metrics.ServeHTTP)},
 	}
 }
 
-func (o *Operator) guarded(next http.HandlerFunc) http.HandlerFunc {
+// authorized wraps a handler so that requests without the operators' token are refused.
+func (o *Operator) authorized(next http.HandlerFunc) http.HandlerFunc {
 	want := []byte("Bearer " + o.token)
 	return func(w http.ResponseWriter, r *http.Request) {
 		got := []byte(r.Header.Get("Authorization"))
 		if subtle.ConstantTimeCompare(got, want) != 1 {
-			problem(w, http.StatusUnauthorized, fault.New(fault.Unauthorized, "token", "want the operators' token"))
+			writeError(w, http.StatusUnauthorized, fault.New(fault.Unauthorized, "token", "want the operators' token"))
 			return
 		}
 		next(w, r)
@@ -171,51 +174,51 @@
 	snap := o.snapshot()
 	s := Status{
 		Node: o.node, Hall: o.hall, Ready: snap.Ready, Revision: snap.State.Revision(), Hosts: len(snap.Hosts),
-		Process: process(), Keys: o.egress.KeyCount(), Endpoints: o.egress.Statuses(),
+		Process: processUsage(), Keys: o.egress.KeyCount(), Endpoints: o.egress.Statuses(),
 	}
-	held := snap.State.Revisions()
-	s.Config, s.HostsRevision = held[table.PlaneConfig], held[table.PlaneHosts]
+	revisions := snap.State.Revisions()
+	s.Config, s.HostsRevision = revisions[table.PlaneConfig], revisions[table.PlaneHosts]
 	s.ReadsOwn, s.ReadsConfig = o.reads()
 	s.LinksDialed, s.LinksAccepted = o.links.Links()
 	s.PeerBytes = o.links.Bytes()
-	reply(w, s)
+	writeJSON(w, s)
 }
 
 func (o *Operator) explain(w http.ResponseWriter, r *http.Request) {
-	reply(w, o.director.Explain(r.URL.Query().Get("service")))
+	writeJSON(w, o.director.Explain(r.URL.Query().Get("service")))
 }
 
-func (o *Operator) customers(w http.ResponseWriter, _ *http.Request) { reply(w, o.limits.Report()) }
+func (o *Operator) customers(w http.ResponseWriter, _ *http.Request) { writeJSON(w, o.limits.Report()) }
 
-func (o *Operator) leftOutEntries(w http.ResponseWriter, _ *http.Request) {
-	reply(w, o.leftOut.Entries())
+func (o *Operator) skippedEntries(w http.ResponseWriter, _ *http.Request) {
+	writeJSON(w, o.skipped.Entries())
 }
 
 func (o *Operator) row(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	sheet, err := table.SheetNamed(q.Get("kind"))
 	if err != nil {
-		problem(w, http.StatusBadRequest, err)
+		writeError(w, http.StatusBadRequest, err)
 		return
 	}
 	row, ok := o.snapshot().State.Row(sheet.Kind, q.Get("key"))
 	if !ok {
-		problem(w, http.StatusNotFound, fault.New(fault.UnknownName, q.Get("key"), "no such row in force"))
+		writeError(w, http.StatusNotFound, fault.New(fault.UnknownName, q.Get("key"), "no such row in force"))
 		return
 	}
 	out := Row{Kind: sheet.Name, Key: row.Key, Version: row.Version, Revision: row.Revision, Cells: map[string]string{}}
 	for i, c := range sheet.Columns {
 		out.Cells[c.Name] = row.Cells[i]
 	}
-	reply(w, out)
+	writeJSON(w, out)
 }
 
-func reply(w http.ResponseWriter, value any) {
+func writeJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-func problem(w http.ResponseWriter, status int, err error) {
+func writeError(w http.ResponseWriter, status int, err error) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(map[string]string{"code": string(fault.CodeOf(err)), "detail": err.Error()})
