--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -87,10 +87,10 @@
 		return nil, fault.Wrap(err, fault.Internal, "metrics", "histogram buckets cannot be built")
 	}
 	m := &Metrics{root: root, closer: closer, reporter: reporter, buckets: buckets}
-	m.services = bounded[*ServiceMetrics]{maxNames: maxServices, create: m.newServiceMetrics}
-	m.calls = bounded[*StoreCalls]{maxNames: maxCalls, create: m.newStoreCalls}
-	m.customers = bounded[tally.Histogram]{maxNames: maxCustomers, create: m.newCustomer}
-	m.limits = bounded[*customerLimit]{maxNames: maxCustomers, create: m.newCustomerLimit}
+	m.services = bounded[*ServiceMetrics]{maxNames: maxServices, make: m.newServiceMetrics}
+	m.calls = bounded[*StoreCalls]{maxNames: maxCalls, make: m.newStoreCalls}
+	m.customers = bounded[tally.Histogram]{maxNames: maxCustomers, make: m.newCustomer}
+	m.limits = bounded[*customerLimit]{maxNames: maxCustomers, make: m.newCustomerLimit}
 	return m, nil
 }
 
@@ -193,7 +193,7 @@
 type bounded[T any] struct {
 	mu       sync.RWMutex
 	maxNames int
-	create   func(string) T
+	make     func(string) T
 	values   map[string]T
 }
 
@@ -217,7 +217,7 @@
 	if b.values == nil {
 		b.values = make(map[string]T)
 	}
-	v = b.create(name)
+	v = b.make(name)
 	b.values[name] = v
 	return v
 }
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -26,7 +26,8 @@
 	PathStatus = "/v1/status"
 	// PathExplain returns a list of director.Explanation for the service in the query parameter "service", or for all services.
 	PathExplain = "/v1/explain"
-	// PathCustomers returns a list of ratelimit.Usage for the customers with a limit that the node has seen requests of.
+	// PathCustomers returns a list of ratelimit.Usage for the customers with a limit whose requests the node has
+	// recently received.
 	PathCustomers = "/v1/customers"
 	// PathSkipped returns a list of skipped.Entry, the entries that the node could not decode.
 	PathSkipped = "/v1/leftout"
@@ -97,7 +98,7 @@
 	Kind string `json:"kind"`
 	// Key is the row's key.
 	Key string `json:"key"`
-	// Version is the row's version. Revision is the table revision in which the row last changed.
+	// Version is the platform's count of writes to the row. Revision is the fleet-wide revision of the row's last change.
 	Version  uint64 `json:"version"`
 	Revision uint64 `json:"revision"`
 	// Cells are the row's values by column name.
