--- a/node/stop.go
+++ b/node/stop.go
@@ -55,8 +55,8 @@
 	return time.Since(g.began), true
 }
 
-// guaranteedEnd returns the time until which the node is certain not to be killed. It counts from the first signal, as that
-// signal's sender may be the one who kills the node.
+// guaranteedEnd returns the time until which the node is certain not to be killed. It counts from the first signal, as the node
+// may be killed when the grace of that signal is over.
 func (g *grace) guaranteedEnd() time.Time {
 	g.mu.Lock()
 	defer g.mu.Unlock()
