--- a/node/config.go
+++ b/node/config.go
@@ -74,7 +74,7 @@
 	p := n.cfg.Peers
 	return peer.Config{
 		Node: n.cfg.Node.ID, Hall: n.cfg.Node.Hall, Incarnation: incarnation, Listen: p.Listen.String(),
-		Heartbeat: p.Heartbeat.Std(), CutAfter: p.CutAfter.Std(), IdleClose: p.IdleClose.Std(), Conns: p.Conns,
+		Heartbeat: p.Heartbeat.Std(), EchoTimeout: p.CutAfter.Std(), IdleTimeout: p.IdleClose.Std(), MaxConns: p.Conns,
 		TLS: config,
 	}
 }
@@ -82,10 +82,10 @@
 func (n *Node) followerConfig() configsync.Config {
 	c := configsync.Config{
 		Host: n.cfg.Node.ID, Hall: n.cfg.Node.Hall,
-		Retry: n.cfg.Platform.RetryInterval.Std(), RetryMost: n.cfg.Platform.MaxRetryInterval.Std(),
-		Wait: n.cfg.Platform.Wait.Std(), Timeout: n.cfg.Platform.Timeout.Std(),
+		RetryInterval: n.cfg.Platform.RetryInterval.Std(), MaxRetryInterval: n.cfg.Platform.MaxRetryInterval.Std(),
+		LongPollTimeout: n.cfg.Platform.Wait.Std(), Timeout: n.cfg.Platform.Timeout.Std(),
 		Readers: n.cfg.Platform.Readers, ConfigReaders: n.cfg.Platform.ConfigReaders,
-		WithConfig: n.cfg.Platform.Config, Policy: n.policy(), Regions: n.cfg.Node.Regions,
+		WithConfig: n.cfg.Platform.Config, ServiceDefaults: n.policy(), Regions: n.cfg.Node.Regions,
 	}
 	for _, seed := range n.cfg.Peers.Seeds {
 		address := seed.AddrPort
@@ -132,7 +132,7 @@
 		Host: table.HostInfo{
 			ID: n.cfg.Node.ID, Hall: n.cfg.Node.Hall, Address: address.String(), Incarnation: incarnation,
 		},
-		Retry: n.cfg.Platform.RetryInterval.Std(), RetryMost: n.cfg.Platform.MaxRetryInterval.Std(),
+		RetryInterval: n.cfg.Platform.RetryInterval.Std(), MaxRetryInterval: n.cfg.Platform.MaxRetryInterval.Std(),
 		Timeout: n.cfg.Platform.Timeout.Std(),
 	}
 }
--- a/node/node.go
+++ b/node/node.go
@@ -140,7 +140,7 @@
 	}
 	var follower *configsync.Follower
 	links := peer.NewManager(n.peerConfig(incarnation, config), n.log,
-		peer.WithBeatHook(func(name string, revisions table.Revisions) { follower.Hint(name, revisions) }))
+		peer.WithRevisionHook(func(name string, revisions table.Revisions) { follower.Hint(name, revisions) }))
 	calls := &storeCalls{metrics: m}
 	client := platform.NewClient(n.cfg.Platform.Address.String(),
 		platform.WithToken(string(n.cfg.Platform.Token)), platform.WithTimeout(n.cfg.Platform.Timeout.Std()),
@@ -154,13 +154,13 @@
 		a.Observe(s)
 		limits.Observe(s)
 		tracker.Observe(s)
-	}), configsync.WithLeftOut(n.skipped))
+	}), configsync.WithSkippedList(n.skipped))
 	tracker = quarantine.New(quarantine.Config{
 		Host: n.cfg.Node.ID, RetryInterval: n.cfg.Platform.RetryInterval.Std(), MaxRetryInterval: n.cfg.Platform.MaxRetryInterval.Std(), Timeout: n.cfg.Platform.Timeout.Std(),
 	}, n.log, client, links, follower.Snapshot)
 	egressOptions := []egress.Option{egress.WithCrashTracker(tracker), egress.WithBudget(n.budget)}
 	limits = ratelimit.New(n.rateLimitConfig(), n.log, follower.Snapshot, links, m)
-	follower.ShowSelf(n.announceConfig(incarnation).Host)
+	follower.SetSelfAnnouncement(n.announceConfig(incarnation).Host)
 	view := hostView{self: n.cfg.Node.ID, snapshot: follower.Snapshot, links: links}
 	if n.announced = n.registry(a, follower, incarnation); n.announced != nil {
 		egressOptions = append(egressOptions, egress.WithRegistry(n.announced))
@@ -230,7 +230,7 @@
 	r := registry.New(n.cfg.Node.ID, n.cfg.Node.Hall, n.log, func(endpoints []table.Announced) {
 		info := self
 		info.Endpoints = endpoints
-		f.ShowSelf(info)
+		f.SetSelfAnnouncement(info)
 		a.Announce(endpoints)
 	})
 	refused := func(key string, err error) {
@@ -264,10 +264,10 @@
 }
 
 // Ended implements peer.Handler.
-func (h handler) Ended(report *peerpb.Ended) { h.tracker.HandleReport(report) }
+func (h handler) HandlePoisonReport(report *peerpb.Ended) { h.tracker.HandleReport(report) }
 
 // Lend implements peer.Handler.
-func (h handler) Lend(customer string, want int) (granted int, wait time.Duration) {
+func (h handler) GrantAllotment(customer string, want int) (granted int, wait time.Duration) {
 	allotment := h.limits.Grant(customer, want)
 	return allotment.Count, allotment.RetryDelay
 }
@@ -275,7 +275,7 @@
 // Confirm implements peer.Handler.
 func (h handler) Confirm(ctx context.Context) (config uint64, known bool) {
 	known = h.follower.ConfirmForPeer(ctx)
-	return h.follower.State().Revisions()[table.PlaneConfig], known
+	return h.follower.State().Revisions()[table.SourceConfig], known
 }
 
 // Deltas implements peer.Handler.
--- a/node/restore.go
+++ b/node/restore.go
@@ -65,7 +65,7 @@
 // restore restores the endpoint that this host's announcement in the store names, if it is the one that answers at the
 // address now.
 func (r *restorer) restore(ctx context.Context, snap *configsync.Snapshot) {
-	for _, a := range snap.SelfLine.Endpoints {
+	for _, a := range snap.StoredAnnouncement.Endpoints {
 		service, ok := snap.State.Service(a.Value.Service)
 		if !ok || service.Value.ProbePath == "" || a.Value.Phase != table.Active || a.Value.Address != r.address {
 			continue
--- a/node/sampler.go
+++ b/node/sampler.go
@@ -126,8 +126,8 @@
 		ready = 1
 	}
 	s.metrics.Gauge("ready", ready)
-	s.metrics.Gauge("config_version", float64(revisions[table.PlaneConfig]))
-	s.metrics.Gauge("rows_revision", float64(revisions[table.PlaneRows]))
+	s.metrics.Gauge("config_version", float64(revisions[table.SourceConfig]))
+	s.metrics.Gauge("rows_revision", float64(revisions[table.SourceRows]))
 	s.metrics.Gauge("config_unchanged_seconds", now.Sub(s.since).Seconds())
 	s.metrics.Gauge("hosts", float64(len(snap.Hosts)))
 }
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -178,7 +178,7 @@
 		Process: processUsage(), Keys: o.egress.KeyCount(), Endpoints: o.egress.Statuses(),
 	}
 	revisions := snap.State.Revisions()
-	s.Config, s.HostsRevision = revisions[table.PlaneConfig], revisions[table.PlaneHosts]
+	s.Config, s.HostsRevision = revisions[table.SourceConfig], revisions[table.SourceHosts]
 	s.ReadsOwn, s.ReadsConfig = o.reads()
 	s.LinksDialed, s.LinksAccepted = o.links.Links()
 	s.PeerBytes = o.links.Bytes()
--- a/quarantine/write.go
+++ b/quarantine/write.go
@@ -92,7 +92,7 @@
 type edit struct {
 	content poison.Fingerprint
 	// value is what is known of it, gone is set to take it out.
-	value table.Fatal
+	value table.PoisonRequest
 	gone  bool
 	// version is the row's as it is known here, 0 for none.
 	version uint64
