--- a/egress/dispatch_test.go
+++ b/egress/dispatch_test.go
@@ -20,7 +20,7 @@
 	beforeConfirming func()
 }
 
-func (confirmingSink) Waiting() {}
+func (confirmingSink) Queued() {}
 
 func (s confirmingSink) Permit(context.Context, *peerpb.Load, time.Duration) bool {
 	s.beforeConfirming()
--- a/quarantine/tracker_test.go
+++ b/quarantine/tracker_test.go
@@ -35,7 +35,7 @@
 }
 
 // TellEnded implements Links.
-func (l trackerLinks) TellEnded(report *peerpb.Ended, maxPeers int) {
+func (l trackerLinks) SendPoisonReport(report *peerpb.Ended, maxPeers int) {
 	l.c.mu.Lock()
 	defer l.c.mu.Unlock()
 	l.c.reports++
