--- a/announce/announcer.go
+++ b/announce/announcer.go
@@ -23,7 +23,7 @@
 	// Host is what is announced besides the endpoints.
 	Host table.HostInfo
 	// Retry is the time between the first attempts while the platform fails, RetryMost what it doubles up to.
-	Retry, RetryMost time.Duration
+	RetryInterval, MaxRetryInterval time.Duration
 	// Timeout bounds one attempt.
 	Timeout time.Duration
 	// FirstDelay is how long the first write waits for an endpoint to announce itself.
@@ -161,7 +161,7 @@
 		if !sleep(ctx, gather) {
 			return
 		}
-		failing := retry.Backoff{Initial: a.cfg.Retry, Max: a.cfg.RetryMost}
+		failing := retry.Backoff{Initial: a.cfg.RetryInterval, Max: a.cfg.MaxRetryInterval}
 		for a.write(ctx) != nil {
 			if !sleep(ctx, failing.Next()) {
 				return
--- a/bench/scale.go
+++ b/bench/scale.go
@@ -248,7 +248,7 @@
 			return err
 		}
 		op := fmt.Sprintf("%s %d %d", f.name, f.last(), i)
-		revision, err := f.writer.Accept(ctx, changes.Change{Op: op, Edits: []changes.Edit{{Row: next, Expect: row.Version}}})
+		revision, err := f.writer.Accept(ctx, changes.Change{Op: op, Edits: []changes.Edit{{Row: next, ExpectedVersion: row.Version}}})
 		if err != nil {
 			return err
 		}
--- a/configsync/read.go
+++ b/configsync/read.go
@@ -83,7 +83,7 @@
 // readOwn keeps reading the product's own table until the node stops.
 func (f *Follower) readOwn(ctx context.Context) {
 	r := &ownReader{
-		f: f, rows: changes.NewReader(f.platform, changes.WithBad(f.leaveOut)), state: table.NewState(), fatals: newRowPlane(table.PlaneFatal),
+		f: f, rows: changes.NewReader(f.platform, changes.WithSkipHandler(f.leaveOut)), state: table.NewState(), fatals: newRowPlane(table.PlaneFatal),
 		failing: retry.Backoff{Initial: f.cfg.Retry, Max: f.cfg.RetryMost},
 	}
 	for {
--- a/node/config.go
+++ b/node/config.go
@@ -130,7 +130,7 @@
 		Host: table.HostInfo{
 			ID: n.cfg.Node.ID, Hall: n.cfg.Node.Hall, Address: address.String(), Incarnation: incarnation,
 		},
-		Retry: n.cfg.Platform.Retry.Std(), RetryMost: n.cfg.Platform.RetryMost.Std(),
+		RetryInterval: n.cfg.Platform.Retry.Std(), MaxRetryInterval: n.cfg.Platform.RetryMost.Std(),
 		Timeout: n.cfg.Platform.Timeout.Std(),
 	}
 }
