--- a/announce/announce_test.go
+++ b/announce/announce_test.go
@@ -29,8 +29,8 @@
 	return a
 }
 
-// line returns this host's line, and whether there is one.
-func line(t *testing.T, s *store.Store) (table.HostInfo, bool) {
+// storedAnnouncement returns this host's announcement, and whether the store holds one.
+func storedAnnouncement(t *testing.T, s *store.Store) (table.HostInfo, bool) {
 	t.Helper()
 	recs, err := store.NewLocal(s).Get(t.Context(), configsync.HostPrefix+"h1")
 	if err != nil {
@@ -44,14 +44,14 @@
 	return h, true
 }
 
-func waitLine(t *testing.T, s *store.Store, what string, good func(h table.HostInfo, ok bool) bool) table.HostInfo {
+func waitForAnnouncement(t *testing.T, s *store.Store, what string, matches func(h table.HostInfo, ok bool) bool) table.HostInfo {
 	t.Helper()
 	for end := time.Now().Add(waitLimit); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		if h, ok := line(t, s); good(h, ok) {
+		if h, ok := storedAnnouncement(t, s); matches(h, ok) {
 			return h
 		}
 	}
-	h, ok := line(t, s)
+	h, ok := storedAnnouncement(t, s)
 	t.Fatalf("%s: got %+v, %v", what, h, ok)
 	return h
 }
@@ -64,56 +64,58 @@
 	return list
 }
 
-func shows(key string) func(table.HostInfo, bool) bool {
+func hasEndpoint(key string) func(table.HostInfo, bool) bool {
 	return func(h table.HostInfo, ok bool) bool {
 		return ok && len(h.Endpoints) == 1 && h.Endpoints[0].Key == key
 	}
 }
 
-// TestLateWriteChangesNothing loses a write's answer and has the store do it only after a newer one: the newer one stays.
-func TestLateWriteChangesNothing(t *testing.T) {
+// TestDelayedWriteDoesNotOverwriteNewer loses the answer to a write that the store then applies only after a newer
+// write. The newer announcement must stay.
+func TestDelayedWriteDoesNotOverwriteNewer(t *testing.T) {
 	s := store.New()
 	a := startAnnouncer(t, s, 1)
-	waitLine(t, s, "first line", func(_ table.HostInfo, ok bool) bool { return ok })
+	waitForAnnouncement(t, s, "first announcement", func(_ table.HostInfo, ok bool) bool { return ok })
 	const late = 300 * time.Millisecond
 	s.SetFaults(store.Faults{LoseReplies: 1, LateMillis: int(late.Milliseconds())})
 	a.Announce(endpoints("old"))
-	time.Sleep(gather + 50*time.Millisecond)
+	time.Sleep(batchDelay + 50*time.Millisecond)
 	a.Announce(endpoints("new"))
-	waitLine(t, s, "newer endpoint", shows("new"))
+	waitForAnnouncement(t, s, "newer endpoint", hasEndpoint("new"))
 	time.Sleep(late)
-	if h, ok := line(t, s); !shows("new")(h, ok) {
+	if h, ok := storedAnnouncement(t, s); !hasEndpoint("new")(h, ok) {
 		t.Errorf("after the late write: got %+v, want the newer endpoint", h.Endpoints)
 	}
 }
 
-// TestOutageAndOthers checks that a line is written after an outage, and again when another node has taken it out.
-func TestOutageAndOthers(t *testing.T) {
+// TestAnnouncementIsRestoredAfterOutageAndRemoval checks that an announcement is written after an outage of the store,
+// and again after another node has removed it.
+func TestAnnouncementIsRestoredAfterOutageAndRemoval(t *testing.T) {
 	s := store.New()
 	s.SetFaults(store.Faults{Down: true})
 	a := startAnnouncer(t, s, 1)
 	a.Announce(endpoints("i1"))
 	time.Sleep(50 * time.Millisecond)
 	s.SetFaults(store.Faults{})
-	h := waitLine(t, s, "after the outage", shows("i1"))
+	h := waitForAnnouncement(t, s, "after the outage", hasEndpoint("i1"))
 
 	log := zerolog.Nop()
 	hosts := []table.HostInfo{h, {ID: "h2", Address: "127.0.0.1:2"}}
 	snap := &configsync.Snapshot{State: table.NewState(), Hosts: hosts}
-	gone := unreachable{"127.0.0.1:1": time.Now().Add(-time.Minute)}
-	r := NewReaper("h2", time.Second, time.Second, &log, store.NewLocal(s), gone, func() *configsync.Snapshot { return snap })
-	if got := r.gone(time.Now(), hosts); len(got) != 1 || got[0].ID != h.ID {
-		t.Fatalf("hosts for h2 to take out: got %v, want %s", got, h.ID)
+	links := unreachable{"127.0.0.1:1": time.Now().Add(-time.Minute)}
+	r := NewReaper("h2", time.Second, time.Second, &log, store.NewLocal(s), links, func() *configsync.Snapshot { return snap })
+	if got := r.expired(time.Now(), hosts); len(got) != 1 || got[0].ID != h.ID {
+		t.Fatalf("hosts for h2 to remove: got %v, want %s", got, h.ID)
 	}
-	r.take(t.Context(), h)
-	if _, ok := line(t, s); ok {
-		t.Fatal("got a line of a host that is gone, want none")
+	r.remove(t.Context(), h)
+	if _, ok := storedAnnouncement(t, s); ok {
+		t.Fatal("got an announcement of an expired host, want none")
 	}
 	state := table.NewState().WithEndpoints(h.Version+1, nil)
 	a.Observe(&configsync.Snapshot{State: state})
-	waitLine(t, s, "written again", shows("i1"))
+	waitForAnnouncement(t, s, "written again", hasEndpoint("i1"))
 	a.Withdraw()
-	waitLine(t, s, "withdrawn", func(_ table.HostInfo, ok bool) bool { return !ok })
+	waitForAnnouncement(t, s, "withdrawn", func(_ table.HostInfo, ok bool) bool { return !ok })
 }
 
 type unreachable map[string]time.Time
@@ -124,13 +126,13 @@
 
 func (unreachable) Keep(string) {}
 
-// TestReaperDoubtsItself checks that a node which has lost most of the others takes none of them out.
-func TestReaperDoubtsItself(t *testing.T) {
+// TestIsolatedReaperRemovesNothing checks that a node which cannot reach most of the other hosts removes none of them.
+func TestIsolatedReaperRemovesNothing(t *testing.T) {
 	log := zerolog.Nop()
-	long := time.Now().Add(-time.Minute)
+	minuteAgo := time.Now().Add(-time.Minute)
 	hosts := []table.HostInfo{{ID: "h1", Address: "1"}, {ID: "h2", Address: "2"}, {ID: "h3", Address: "3"}}
-	r := NewReaper("h1", time.Second, time.Second, &log, nil, unreachable{"2": long, "3": long}, nil)
-	if got := r.gone(time.Now(), hosts); len(got) != 0 {
-		t.Errorf("taken out: got %v, want none", got)
+	r := NewReaper("h1", time.Second, time.Second, &log, nil, unreachable{"2": minuteAgo, "3": minuteAgo}, nil)
+	if got := r.expired(time.Now(), hosts); len(got) != 0 {
+		t.Errorf("hosts removed: got %v, want none", got)
 	}
 }
--- a/announce/announcer.go
+++ b/announce/announcer.go
@@ -18,22 +18,23 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// Config is the announcer's section of the settings.
+// Config holds the announcer's settings.
 type Config struct {
-	// Host is what is announced besides the endpoints.
+	// Host is the announcement without its endpoints.
 	Host table.HostInfo
-	// Retry is the time between the first attempts while the platform fails, RetryMost what it doubles up to.
+	// RetryInterval is the time before the first retry of a failed write; it doubles up to MaxRetryInterval while the
+	// platform keeps failing.
 	RetryInterval, MaxRetryInterval time.Duration
-	// Timeout bounds one attempt.
+	// Timeout bounds one attempt to write.
 	Timeout time.Duration
-	// FirstDelay is how long the first write waits for an endpoint to announce itself.
+	// FirstDelay bounds how long the first write waits for an endpoint to announce itself.
 	FirstDelay time.Duration
 }
 
-// gather is the wait that lets a burst of changes become one write.
-const gather = 20 * time.Millisecond
+// batchDelay is the time between the first of several changes and the write that covers them all.
+const batchDelay = 20 * time.Millisecond
 
-// Announcer writes this host's line; it is a kernel component.
+// Announcer writes this host's announcement to the store. It is a kernel component.
 type Announcer struct {
 	cfg   Config
 	log   *zerolog.Logger
@@ -43,101 +44,104 @@
 	done  chan struct{}
 
 	mu sync.Mutex
-	// want is the line as it should be.
-	want table.HostInfo
-	// withdrawn is set once the line is to be taken out.
+	// desired is the announcement that the store should hold.
+	desired table.HostInfo
+	// withdrawn is set once the announcement is to be deleted.
 	withdrawn bool
-	// dirty is set while the line may not be as it should be.
+	// dirty is set while the stored announcement may differ from the desired one.
 	dirty bool
-	// written is the version of the line as this process last wrote it, or found it to be as it should.
-	written uint64
-	// sure is set while the line is known to be at that version, with that value and that incarnation.
-	sure        bool
-	value       []byte
+	// storedVersion is the version of the announcement that this process last wrote or adopted, 0 before either.
+	storedVersion uint64
+	// confirmed is set while the store is known to hold the announcement at storedVersion, with storedValue and
+	// incarnation.
+	confirmed   bool
+	storedValue []byte
 	incarnation uint64
-	// loaded is closed once a snapshot shows what the store holds, or may hold nothing.
+	// loaded is closed at the first ready snapshot: it shows this host's announcement if the store has one.
 	loaded     chan struct{}
 	loadedOnce sync.Once
 }
 
-// New returns an announcer that has written nothing.
+// New returns an announcer that has not written anything yet.
 func New(cfg Config, log *zerolog.Logger, t changes.Table) *Announcer {
-	return &Announcer{cfg: cfg, log: log, table: t, want: cfg.Host, wake: make(chan struct{}, 1), done: make(chan struct{}), loaded: make(chan struct{})}
+	return &Announcer{cfg: cfg, log: log, table: t, desired: cfg.Host, wake: make(chan struct{}, 1), done: make(chan struct{}), loaded: make(chan struct{})}
 }
 
-// Start keeps the line as it should be. With endpoints that announce themselves it is first written when one has, or
-// after the first delay, so that a node's start is mostly one write.
+// Start begins to maintain the announcement. Where endpoints announce themselves, the first write waits until one of
+// them has, or for FirstDelay, so that the start of a node usually costs one write.
 func (a *Announcer) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	a.stop = cancel
 	if a.cfg.FirstDelay == 0 {
-		a.mark()
+		a.scheduleWrite()
 	} else {
-		time.AfterFunc(a.cfg.FirstDelay, a.mark)
+		time.AfterFunc(a.cfg.FirstDelay, a.scheduleWrite)
 	}
 	go a.run(ctx)
 	return nil
 }
 
-// Stop ends the writing; it does not take the line out.
+// Stop ends the writing; it does not delete the announcement.
 func (a *Announcer) Stop(context.Context) error {
 	a.stop()
 	<-a.done
 	return nil
 }
 
-// Announce replaces the endpoints of the line.
+// Announce replaces the endpoints in the announcement.
 func (a *Announcer) Announce(endpoints []table.Announced) {
 	a.mu.Lock()
-	a.want.Endpoints = endpoints
+	a.desired.Endpoints = endpoints
 	a.mu.Unlock()
-	a.mark()
+	a.scheduleWrite()
 }
 
-// Withdraw takes the line out, because host and endpoint leave for good.
+// Withdraw deletes the announcement, because host and endpoints are removed for good.
 func (a *Announcer) Withdraw() {
 	a.mu.Lock()
 	a.withdrawn = true
 	a.mu.Unlock()
-	a.mark()
+	a.scheduleWrite()
 }
 
-// Observe looks whether a snapshot in force shows the line as it was written; another node may have taken it out. Before the
-// first write it takes what an earlier life of the node has left.
+// Observe compares an active snapshot with the announcement last written, and schedules a write if they differ: another
+// node may have removed the announcement. Before the first write, Observe adopts the announcement that a previous
+// process of this node has left.
 func (a *Announcer) Observe(snap *configsync.Snapshot) {
 	a.mu.Lock()
-	if a.written == 0 && snap.SelfLine.Version != 0 {
-		a.found(snap.SelfLine, snap.SelfLine.Version)
+	if a.storedVersion == 0 && snap.SelfLine.Version != 0 {
+		a.adopt(snap.SelfLine, snap.SelfLine.Version)
 	}
-	shown := a.written != 0 && snap.State.Revisions()[table.PlaneHosts] > a.written
-	other := shown && (snap.SelfLine.Incarnation != a.incarnation || snap.SelfLine.Version > a.written)
-	lost := other && !a.withdrawn
-	if lost {
-		a.sure = false
+	newer := a.storedVersion != 0 && snap.State.Revisions()[table.PlaneHosts] > a.storedVersion
+	changed := newer && (snap.SelfLine.Incarnation != a.incarnation || snap.SelfLine.Version > a.storedVersion)
+	restore := changed && !a.withdrawn
+	if restore {
+		a.confirmed = false
 	}
 	a.mu.Unlock()
-	if lost {
-		a.mark()
+	if restore {
+		a.scheduleWrite()
 	}
 	if snap.Ready {
 		a.loadedOnce.Do(func() { close(a.loaded) })
 	}
 }
 
-// found takes a line that stands in the store; the lock is held. One that differs in its incarnation alone is as good as the one
-// that this process would write: a fleet that restarts at once would queue for seconds to say what the store knows, and each line
-// wakes every reader.
-func (a *Announcer) found(line table.HostInfo, version uint64) {
-	line.Version = 0
-	value, err := json.Marshal(line)
+// adopt records an announcement that is already in the store as if this process had written it, with the incarnation
+// that it has there. The caller holds the lock. An announcement that differs only in its incarnation need not be
+// written again: the nodes of a fleet that restarts all at once would queue for seconds to write what the store already
+// holds, and each write wakes every reader.
+func (a *Announcer) adopt(found table.HostInfo, version uint64) {
+	found.Version = 0
+	value, err := json.Marshal(found)
 	if err != nil {
 		return
 	}
-	a.written, a.value, a.incarnation, a.sure = version, value, line.Incarnation, true
+	a.storedVersion, a.storedValue, a.incarnation, a.confirmed = version, value, found.Incarnation, true
 }
 
-// mark has the line written.
-func (a *Announcer) mark() {
+// scheduleWrite marks the announcement as changed and wakes the writing goroutine.
+func (a *Announcer) scheduleWrite() {
 	a.mu.Lock()
 	a.dirty = true
 	a.mu.Unlock()
@@ -158,20 +162,20 @@
 			return
 		case <-a.wake:
 		}
-		if !sleep(ctx, gather) {
+		if !sleep(ctx, batchDelay) {
 			return
 		}
-		failing := retry.Backoff{Initial: a.cfg.RetryInterval, Max: a.cfg.MaxRetryInterval}
+		backoff := retry.Backoff{Initial: a.cfg.RetryInterval, Max: a.cfg.MaxRetryInterval}
 		for a.write(ctx) != nil {
-			if !sleep(ctx, failing.Next()) {
+			if !sleep(ctx, backoff.Next()) {
 				return
 			}
 		}
 	}
 }
 
-// awaitLoaded waits until it is known what the store holds of this host, as long as the first write may wait; false when the node
-// stops.
+// awaitLoaded waits, for FirstDelay at most, until a snapshot shows what the store holds for this host. It returns false
+// if the node stops first.
 func (a *Announcer) awaitLoaded(ctx context.Context) bool {
 	wait := time.NewTimer(a.cfg.FirstDelay)
 	defer wait.Stop()
@@ -184,7 +188,7 @@
 	return true
 }
 
-// sleep waits; false when the context ends first.
+// sleep waits for d and returns true, or false if the context ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -194,35 +198,35 @@
 	}
 }
 
-// next takes what is to be written; false when all is written.
-func (a *Announcer) next() (write platform.Write, ok bool, err error) {
+// nextWrite returns the write that is due and clears the dirty mark; ok is false if none is due.
+func (a *Announcer) nextWrite() (write platform.Write, ok bool, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !a.dirty {
 		return platform.Write{}, false, nil
 	}
 	a.dirty = false
-	write = platform.Write{Key: configsync.HostPrefix + a.want.ID, Delete: a.withdrawn}
+	write = platform.Write{Key: configsync.HostPrefix + a.desired.ID, Delete: a.withdrawn}
 	if a.withdrawn {
 		return write, true, nil
 	}
-	line := a.want
-	if a.written != 0 {
-		line.Incarnation = a.incarnation
+	announcement := a.desired
+	if a.storedVersion != 0 {
+		announcement.Incarnation = a.incarnation
 	}
-	write.Value, err = json.Marshal(line)
+	write.Value, err = json.Marshal(announcement)
 	if err != nil {
 		err = fault.Wrap(err, fault.Internal, write.Key, "announcement cannot be encoded")
 	}
 	return write, true, err
 }
 
-// write makes one attempt to bring the line to what it should be.
+// write makes one attempt to store the desired announcement, or to delete a withdrawn one.
 //
-// Invariant: each write names the version of the line that it replaces, so that one which the store does late, after
-// its answer was lost, cannot undo a newer one.
+// Invariant: each write names the version of the announcement that it replaces. So a write whose answer was lost and
+// which the store applies late cannot overwrite a newer one.
 func (a *Announcer) write(ctx context.Context) error {
-	w, ok, err := a.next()
+	w, ok, err := a.nextWrite()
 	if !ok {
 		return nil
 	}
@@ -238,34 +242,35 @@
 	return err
 }
 
-// stands tells whether the line is known to be as a write would make it.
-func (a *Announcer) stands(w platform.Write) bool {
+// upToDate reports whether the store is known to hold already what the write would store.
+func (a *Announcer) upToDate(w platform.Write) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.sure && !w.Delete && bytes.Equal(a.value, w.Value)
+	return a.confirmed && !w.Delete && bytes.Equal(a.storedValue, w.Value)
 }
 
-// commit does one write, provided that the line is still at the version that it replaces.
+// commit sends one write, which the store accepts only if the announcement is still at the version that the write
+// replaces. A refused write is tried once more on the version that the refusal has shown.
 func (a *Announcer) commit(ctx context.Context, w platform.Write) error {
-	if a.stands(w) {
+	if a.upToDate(w) {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(platform.WithReason(ctx, platform.ReasonLine), a.cfg.Timeout)
 	defer cancel()
 	a.mu.Lock()
-	version := a.written
+	version := a.storedVersion
 	a.mu.Unlock()
 	reply, err := a.replace(ctx, w, version)
 	if err == nil && !reply.Committed {
-		reply, err = a.replaceFound(ctx, w, reply)
+		reply, err = a.overwriteFound(ctx, w, reply)
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.sure = err == nil
+	a.confirmed = err == nil
 	if err != nil {
 		return err
 	}
-	a.written, a.value = reply.Version, w.Value
+	a.storedVersion, a.storedValue = reply.Version, w.Value
 	if a.incarnation == 0 {
 		a.incarnation = a.cfg.Host.Incarnation
 	}
@@ -273,9 +278,9 @@
 	return nil
 }
 
-// replaceFound writes once more over the line that a refusal has shown, unless that is what is to be written: a write of this
-// process whose answer was lost.
-func (a *Announcer) replaceFound(ctx context.Context, w platform.Write, refused platform.TxnReply) (platform.TxnReply, error) {
+// overwriteFound repeats a refused write on the version that the refusal has shown. It doesn't write if the store holds
+// the wanted state already, because an earlier write of this process was applied and its answer lost.
+func (a *Announcer) overwriteFound(ctx context.Context, w platform.Write, refused platform.TxnReply) (platform.TxnReply, error) {
 	found := refused.FoundAt(w.Key)
 	if found.Version == 0 && w.Delete {
 		return refused, nil
@@ -285,12 +290,13 @@
 	}
 	reply, err := a.replace(ctx, w, found.Version)
 	if err == nil && !reply.Committed {
-		err = fault.New(fault.Conflict, w.Key, "line was written meanwhile")
+		err = fault.New(fault.Conflict, w.Key, "announcement was changed by another write in the meantime")
 	}
 	return reply, err
 }
 
-// replace makes one write, provided that the line is at a version, 0 for not there.
+// replace sends one write, which the store accepts only if the announcement is at the given version; 0 means that there
+// is none.
 func (a *Announcer) replace(ctx context.Context, w platform.Write, version uint64) (platform.TxnReply, error) {
 	return a.table.Commit(ctx, platform.Txn{
 		Checks: []platform.Check{{Key: w.Key, Version: version}}, Writes: []platform.Write{w},
--- a/announce/calls_test.go
+++ b/announce/calls_test.go
@@ -16,39 +16,39 @@
 	"github.com/rs/zerolog"
 )
 
-// countedTable counts the calls to the store.
-type countedTable struct {
+// countingTable counts the reads and commits that reach the store.
+type countingTable struct {
 	changes.Table
 	reads, commits atomic.Int64
 }
 
-func (c *countedTable) Get(ctx context.Context, keys ...string) ([]platform.Record, error) {
+func (c *countingTable) Get(ctx context.Context, keys ...string) ([]platform.Record, error) {
 	c.reads.Add(1)
 	return c.Table.Get(ctx, keys...)
 }
 
-func (c *countedTable) Commit(ctx context.Context, txn platform.Txn) (platform.TxnReply, error) {
+func (c *countingTable) Commit(ctx context.Context, txn platform.Txn) (platform.TxnReply, error) {
 	c.commits.Add(1)
 	return c.Table.Commit(ctx, txn)
 }
 
-// TestCallsOfAStart counts what a start costs at the store: a fleet that starts pays it as often as it has nodes, and each
-// line that is written wakes every reader.
-func TestCallsOfAStart(t *testing.T) {
+// TestStoreCallsAtStart counts the store calls of a node's start. A fleet that starts makes them once per node, and
+// each write of an announcement wakes every reader.
+func TestStoreCallsAtStart(t *testing.T) {
 	s := store.New()
 	for _, c := range []struct {
 		name     string
-		shown    bool
+		observed bool
 		endpoint string
 		commits  int64
 	}{
-		{"a host that has no line", false, "i1", 1},
+		{"a host without an announcement", false, "i1", 1},
 		{"a restart with the same endpoint", true, "i1", 0},
 		{"a restart with another endpoint", true, "i2", 1},
-		{"a restart that has not seen its line", false, "i3", 2},
+		{"a restart that has not seen its announcement", false, "i3", 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			counted := &countedTable{Table: store.NewLocal(s)}
+			counted := &countingTable{Table: store.NewLocal(s)}
 			log := zerolog.Nop()
 			const firstDelay = 100 * time.Millisecond
 			a := New(Config{
@@ -56,8 +56,8 @@
 				RetryInterval: 5 * time.Millisecond, Timeout: time.Second, FirstDelay: firstDelay,
 			}, &log, counted)
 			snap := &configsync.Snapshot{State: table.NewState(), Ready: true}
-			if c.shown {
-				snap.SelfLine, _ = line(t, s)
+			if c.observed {
+				snap.SelfLine, _ = storedAnnouncement(t, s)
 			}
 			a.Observe(snap)
 			if err := a.Start(t.Context()); err != nil {
@@ -65,8 +65,8 @@
 			}
 			t.Cleanup(func() { _ = a.Stop(context.Background()) })
 			a.Announce(endpoints(c.endpoint))
-			waitLine(t, s, "line", shows(c.endpoint))
-			// By then the first delay has the line looked at again.
+			waitForAnnouncement(t, s, "announcement", hasEndpoint(c.endpoint))
+			// The first delay ends within this time and triggers another comparison with the store.
 			time.Sleep(2 * firstDelay)
 			if got := counted.reads.Load(); got != 0 {
 				t.Errorf("reads: got %d, want 0", got)
@@ -78,28 +78,29 @@
 	}
 }
 
-// TestLineOfAnEarlierLifeIsWatched has a restarted node whose line stands as it should find it taken out: it writes it again.
-func TestLineOfAnEarlierLifeIsWatched(t *testing.T) {
+// TestAnnouncementOfPreviousProcessIsRestored removes the announcement that a restarted node has adopted from its
+// previous process without writing. The node must notice the removal and write the announcement again.
+func TestAnnouncementOfPreviousProcessIsRestored(t *testing.T) {
 	s := store.New()
-	first := startAnnouncer(t, s, 1)
-	first.Announce(endpoints("i1"))
-	h := waitLine(t, s, "first life", shows("i1"))
-	_ = first.Stop(context.Background())
+	previous := startAnnouncer(t, s, 1)
+	previous.Announce(endpoints("i1"))
+	h := waitForAnnouncement(t, s, "previous process", hasEndpoint("i1"))
+	_ = previous.Stop(context.Background())
 	log := zerolog.Nop()
-	second := New(Config{
+	restarted := New(Config{
 		Host:          table.HostInfo{ID: "h1", Hall: "hall-1", Address: "127.0.0.1:1", Incarnation: 2},
 		RetryInterval: 5 * time.Millisecond, Timeout: time.Second,
 	}, &log, store.NewLocal(s))
-	second.Observe(&configsync.Snapshot{State: table.NewState(), SelfLine: h, Ready: true})
-	if err := second.Start(t.Context()); err != nil {
+	restarted.Observe(&configsync.Snapshot{State: table.NewState(), SelfLine: h, Ready: true})
+	if err := restarted.Start(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = second.Stop(context.Background()) })
-	second.Announce(endpoints("i1"))
+	t.Cleanup(func() { _ = restarted.Stop(context.Background()) })
+	restarted.Announce(endpoints("i1"))
 	if _, err := store.NewLocal(s).Commit(t.Context(), platform.Txn{Writes: []platform.Write{{Key: configsync.HostPrefix + "h1", Delete: true}}}); err != nil {
 		t.Fatal(err)
 	}
 	state := table.NewState().WithEndpoints(h.Version+1, nil)
-	second.Observe(&configsync.Snapshot{State: state, Ready: true})
-	waitLine(t, s, "written again", shows("i1"))
+	restarted.Observe(&configsync.Snapshot{State: state, Ready: true})
+	waitForAnnouncement(t, s, "written again", hasEndpoint("i1"))
 }
--- a/announce/reaper.go
+++ b/announce/reaper.go
@@ -14,48 +14,51 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// Links tells which peers are out of reach.
+// Links opens links to peers and reports their state.
 type Links interface {
-	// Unreachable returns since when a peer cannot be reached, the zero time for one that can or was not tried.
+	// Unreachable returns the time since which a peer has been unreachable, the zero time for a peer that is reachable
+	// or was not tried.
 	Unreachable(address string) time.Time
-	// Reached tells whether a link to a peer stands that is not under suspicion.
+	// Reached reports whether there is a link to the peer that is not suspect.
 	Reached(address string) bool
-	// Keep has a link to a peer opened and kept.
+	// Keep opens a link to a peer and keeps it open.
 	Keep(address string)
 }
 
-// Reaper takes out the lines of hosts that are gone; it is a kernel component. The hosts stand on a circle by their hashes, and
-// each node watches the next one, and beyond that as long as those in between are out of reach: so each host is watched by one
-// node, whatever the size of the fleet, and usually one node writes. A host that is only out of that node's reach sees that its
-// line is gone and writes it again.
+// Reaper removes the announcements of expired hosts: those that have been unreachable for too long. It is a kernel
+// component. The hosts form a ring in the order of their hashes. Each node watches its successor on the ring; while the
+// successor has expired, also the host after it, and so on. So each host is watched by one node, whatever the size of
+// the fleet, and usually one node writes. A host that is unreachable only from the node that watches it sees that its
+// announcement is missing and writes it again.
 type Reaper struct {
 	host string
-	// after is how long a host must be out of reach, timeout bounds one write.
-	after    time.Duration
-	timeout  time.Duration
-	log      *zerolog.Logger
-	table    changes.Table
-	links    Links
-	snapshot func() *configsync.Snapshot
-	stop     context.CancelFunc
-	done     chan struct{}
+	// unreachableLimit is how long a host must be unreachable to expire; writeTimeout bounds one write.
+	unreachableLimit time.Duration
+	writeTimeout     time.Duration
+	log              *zerolog.Logger
+	table            changes.Table
+	links            Links
+	snapshot         func() *configsync.Snapshot
+	stop             context.CancelFunc
+	done             chan struct{}
 }
 
-// reapEvery is the time between two looks at the hosts.
-const reapEvery = 500 * time.Millisecond
+// reapInterval is the time between two checks of the hosts.
+const reapInterval = 500 * time.Millisecond
 
-// NewReaper returns a reaper for a node's host; after is how long a host must be out of reach.
+// NewReaper returns a reaper for the node of the given host. A host expires when it has been unreachable for
+// unreachableLimit; writeTimeout bounds one write.
 func NewReaper(
-	host string, after, timeout time.Duration, log *zerolog.Logger, t changes.Table, links Links,
+	host string, unreachableLimit, writeTimeout time.Duration, log *zerolog.Logger, t changes.Table, links Links,
 	snapshot func() *configsync.Snapshot,
 ) *Reaper {
 	return &Reaper{
-		host: host, after: after, timeout: timeout, log: log, table: t, links: links, snapshot: snapshot,
+		host: host, unreachableLimit: unreachableLimit, writeTimeout: writeTimeout, log: log, table: t, links: links, snapshot: snapshot,
 		done: make(chan struct{}),
 	}
 }
 
-// Start begins to look.
+// Start begins to check the hosts.
 func (r *Reaper) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	r.stop = cancel
@@ -63,7 +66,7 @@
 	return nil
 }
 
-// Stop ends the looking.
+// Stop ends the checks and waits for a running one.
 func (r *Reaper) Stop(context.Context) error {
 	r.stop()
 	<-r.done
@@ -72,69 +75,73 @@
 
 func (r *Reaper) run(ctx context.Context) {
 	defer close(r.done)
-	for sleep(ctx, reapEvery) {
-		for _, h := range r.gone(time.Now(), r.snapshot().Hosts) {
-			r.take(ctx, h)
+	for sleep(ctx, reapInterval) {
+		for _, h := range r.expired(time.Now(), r.snapshot().Hosts) {
+			r.remove(ctx, h)
 		}
 	}
 }
 
-// gone returns the hosts that are gone and that it is up to this node to take out. It keeps a link to those that it watches.
-func (r *Reaper) gone(now time.Time, hosts []table.HostInfo) []table.HostInfo {
-	var out []table.HostInfo
-	h, ok := r.next(hosts, r.host)
-	for ; ok; h, ok = r.next(hosts, h.ID) {
+// expired returns the expired hosts that this node has to remove. It keeps a link open to each host that it watches, and
+// returns none if this node is likely to be isolated itself.
+func (r *Reaper) expired(now time.Time, hosts []table.HostInfo) []table.HostInfo {
+	var list []table.HostInfo
+	h, ok := r.nextOnRing(hosts, r.host)
+	for ; ok; h, ok = r.nextOnRing(hosts, h.ID) {
 		r.links.Keep(h.Address)
-		if !r.lost(now, h) {
+		if !r.unreachableTooLong(now, h) {
 			break
 		}
-		out = append(out, h)
+		list = append(list, h)
 	}
-	if len(out) > 0 && r.cutOff(now, hosts) {
+	if len(list) > 0 && r.likelyIsolated(now, hosts) {
 		return nil
 	}
-	return out
+	return list
 }
 
-// next returns the host that follows another one on the circle, false once that is this node's own.
-func (r *Reaper) next(hosts []table.HostInfo, after string) (next table.HostInfo, ok bool) {
-	self := placeOf(r.host)
-	from, best := placeOf(after)-self, uint64(0)
+// nextOnRing returns the host that follows the host named after on the ring; ok is false when the ring is back at this
+// node.
+func (r *Reaper) nextOnRing(hosts []table.HostInfo, after string) (next table.HostInfo, ok bool) {
+	self := ringPosition(r.host)
+	start, nearest := ringPosition(after)-self, uint64(0)
 	for _, h := range hosts {
-		if at := placeOf(h.ID) - self; at > from && (!ok || at < best) {
-			next, best, ok = h, at, true
+		if distance := ringPosition(h.ID) - self; distance > start && (!ok || distance < nearest) {
+			next, nearest, ok = h, distance, true
 		}
 	}
 	return next, ok
 }
 
-// placeOf is a host's place on the circle.
-func placeOf(host string) uint64 { return xxhash.Sum64String(host) }
+// ringPosition returns a host's position on the ring.
+func ringPosition(host string) uint64 { return xxhash.Sum64String(host) }
 
-// lost tells whether a host has been out of this node's reach for long enough.
-func (r *Reaper) lost(now time.Time, h table.HostInfo) bool {
+// unreachableTooLong reports whether this node has been unable to reach a host for longer than the limit.
+func (r *Reaper) unreachableTooLong(now time.Time, h table.HostInfo) bool {
 	since := r.links.Unreachable(h.Address)
-	return !since.IsZero() && now.Sub(since) > r.after
+	return !since.IsZero() && now.Sub(since) > r.unreachableLimit
 }
 
-// cutOff tells whether this node has lost more hosts than it reaches, itself counted: it is more likely to be cut off itself.
-func (r *Reaper) cutOff(now time.Time, hosts []table.HostInfo) bool {
-	lost, reached := 0, 1
+// likelyIsolated reports whether more hosts are unreachable than reachable, this node counted as reachable. Then this
+// node is more likely to be isolated than all of those hosts to be down.
+func (r *Reaper) likelyIsolated(now time.Time, hosts []table.HostInfo) bool {
+	unreachable, reachable := 0, 1
 	for _, h := range hosts {
 		switch {
 		case h.ID == r.host:
-		case r.lost(now, h):
-			lost++
+		case r.unreachableTooLong(now, h):
+			unreachable++
 		case r.links.Reached(h.Address):
-			reached++
+			reachable++
 		}
 	}
-	return lost > reached
+	return unreachable > reachable
 }
 
-// take takes out the line of a host that is gone, provided that it still is the one that this node saw.
-func (r *Reaper) take(ctx context.Context, h table.HostInfo) {
-	ctx, cancel := context.WithTimeout(platform.WithReason(ctx, platform.ReasonReap), r.timeout)
+// remove deletes the announcement of an expired host, provided that its version is still the one that this node has
+// seen.
+func (r *Reaper) remove(ctx context.Context, h table.HostInfo) {
+	ctx, cancel := context.WithTimeout(platform.WithReason(ctx, platform.ReasonReap), r.writeTimeout)
 	defer cancel()
 	key := configsync.HostPrefix + h.ID
 	reply, err := r.table.Commit(ctx, platform.Txn{
--- a/announce/reaper_test.go
+++ b/announce/reaper_test.go
@@ -11,10 +11,10 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// linkModel is the links of one node to a fleet of which some hosts are gone: it only finds out about hosts that it keeps a
-// link to.
+// linkModel models one node's links to a fleet in which some hosts are unreachable. The node learns of that only for
+// hosts to which it keeps a link.
 type linkModel struct {
-	gone map[string]time.Time
+	down map[string]time.Time
 	kept map[string]bool
 }
 
@@ -22,62 +22,62 @@
 	if !l.kept[address] {
 		return time.Time{}
 	}
-	return l.gone[address]
+	return l.down[address]
 }
 
-func (l *linkModel) Reached(address string) bool { return l.kept[address] && l.gone[address].IsZero() }
+func (l *linkModel) Reached(address string) bool { return l.kept[address] && l.down[address].IsZero() }
 
 func (l *linkModel) Keep(address string) { l.kept[address] = true }
 
-// TestEachGoneHostIsTakenOutOnce draws fleets up to a hundred and more hosts of which some are gone: each of these is taken out by just
-// one of the others, and nobody keeps a link to more hosts than that takes.
-func TestEachGoneHostIsTakenOutOnce(t *testing.T) {
+// TestEachExpiredHostIsRemovedOnce draws fleets of up to 120 hosts of which some are expired. Exactly one of the others
+// must remove each expired host, and the links opened for watching must not outnumber the hosts.
+func TestEachExpiredHostIsRemovedOnce(t *testing.T) {
 	log := zerolog.Nop()
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 120).Draw(t, "hosts")
 		var hosts []table.HostInfo
-		gone := make(map[string]time.Time)
+		down := make(map[string]time.Time)
 		for i := range n {
 			id := fmt.Sprintf("h%03d", i)
 			hosts = append(hosts, table.HostInfo{ID: id, Address: id})
-			if rapid.IntRange(0, 4).Draw(t, "gone") == 0 && len(gone) < n/4 {
-				gone[id] = time.Now().Add(-time.Minute)
+			if rapid.IntRange(0, 4).Draw(t, "down") == 0 && len(down) < n/4 {
+				down[id] = time.Now().Add(-time.Minute)
 			}
 		}
-		taken := make(map[string]int)
+		removals := make(map[string]int)
 		links := 0
 		for _, h := range hosts {
-			if !gone[h.ID].IsZero() {
+			if !down[h.ID].IsZero() {
 				continue
 			}
-			l := &linkModel{gone: gone, kept: make(map[string]bool)}
-			// A node reaches others besides, those that it sends to.
+			l := &linkModel{down: down, kept: make(map[string]bool)}
+			// A node also has links to the hosts to which it sends requests.
 			for i := range min(n, 16) {
-				if o := hosts[(i*7)%n]; gone[o.ID].IsZero() {
+				if o := hosts[(i*7)%n]; down[o.ID].IsZero() {
 					l.kept[o.Address] = true
 				}
 			}
 			before := len(l.kept)
 			r := NewReaper(h.ID, time.Second, time.Second, &log, nil, l, nil)
-			// A look opens links, a later one sees what came of them.
+			// A check opens links; a later check sees which of them failed.
 			for range 2 {
-				r.gone(time.Now(), hosts)
+				r.expired(time.Now(), hosts)
 			}
-			for _, g := range r.gone(time.Now(), hosts) {
-				taken[g.ID]++
+			for _, g := range r.expired(time.Now(), hosts) {
+				removals[g.ID]++
 			}
 			links += len(l.kept) - before
 		}
-		for id := range gone {
-			if got, want := taken[id], 1; got != want {
-				t.Fatalf("times that %s is taken out: got %d, want %d", id, got, want)
+		for id := range down {
+			if got, want := removals[id], 1; got != want {
+				t.Fatalf("removals of %s: got %d, want %d", id, got, want)
 			}
 		}
-		if got, want := len(taken), len(gone); got != want {
-			t.Fatalf("hosts taken out: got %d, want %d", got, want)
+		if got, want := len(removals), len(down); got != want {
+			t.Fatalf("hosts removed: got %d, want %d", got, want)
 		}
-		if got, most := links, n; got > most {
-			t.Fatalf("links for watching: got %d, want at most %d", got, most)
+		if got, limit := links, n; got > limit {
+			t.Fatalf("links for watching: got %d, want at most %d", got, limit)
 		}
 	})
 }
