--- a/changes/history_test.go
+++ b/changes/history_test.go
@@ -18,20 +18,23 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// edit is one operator's step on one row: a compare-and-set of the queue cell, or a read.
+// edit is the input of one operation on the row: a compare-and-set of its queue cell, or a read.
 type edit struct {
 	read     bool
 	old, new string
 }
 
+// result is the output of one operation on the row.
 type result struct {
+	// value is the cell that a read returned.
 	value string
-	// set is "accepted", "conflict" or "unknown".
+	// set is the result of a compare-and-set: "accepted", "conflict" or "unknown".
 	set string
 }
 
-// cell is the model of one row: a register that a compare-and-set changes. What ended unknown may have happened.
-var cell = (&porcupine.NondeterministicModel{
+// rowModel models the row as a register with reads and compare-and-set. An operation with an unknown result may or may
+// not have taken effect.
+var rowModel = (&porcupine.NondeterministicModel{
 	Init: func() []any { return []any{""} },
 	Step: func(state, input, output any) []any {
 		in, out, now := input.(edit), output.(result), state.(string)
@@ -55,19 +58,20 @@
 	Equal: func(a, b any) bool { return a == b },
 }).ToModel()
 
-// acceptor is how an operator gets a change accepted; tests replace it to show that the check can fail.
+// acceptor gets an operator's change accepted. A test replaces it by a faulty one to show that the check can fail.
 type acceptor func(ctx context.Context, w *changes.Writer, s *store.Store, c changes.Change) (uint64, error)
 
-func honest(ctx context.Context, w *changes.Writer, _ *store.Store, c changes.Change) (uint64, error) {
+// acceptWithOneID uses the writer as intended.
+func acceptWithOneID(ctx context.Context, w *changes.Writer, _ *store.Store, c changes.Change) (uint64, error) {
 	return w.Accept(ctx, c)
 }
 
-// blind is the mistake that the mechanism is there for: it takes a lost reply for a failure and tries again under a
-// new id.
-func blind(ctx context.Context, _ *changes.Writer, s *store.Store, c changes.Change) (uint64, error) {
+// acceptWithNewIDs makes the mistake that operation ids are to prevent: it treats a lost reply as a failure and retries
+// under a new id.
+func acceptWithNewIDs(ctx context.Context, _ *changes.Writer, s *store.Store, c changes.Change) (uint64, error) {
 	for i := 0; ; i++ {
 		short, cancel := context.WithCancel(ctx)
-		w := changes.NewWriter(impatient{store.NewLocal(s), cancel})
+		w := changes.NewWriter(cancelOnError{store.NewLocal(s), cancel})
 		revision, err := w.Accept(short, c)
 		cancel()
 		if fault.CodeOf(err) != fault.OutcomeUnknown {
@@ -77,22 +81,23 @@
 	}
 }
 
-// impatient gives up at the first reply that is lost.
-type impatient struct {
+// cancelOnError is a store client that cancels the change at the first lost reply.
+type cancelOnError struct {
 	store.Local
-	giveUp func()
+	cancel func()
 }
 
-func (i impatient) Commit(ctx context.Context, txn platform.Txn) (platform.TxnReply, error) {
-	reply, err := i.Local.Commit(ctx, txn)
+func (c cancelOnError) Commit(ctx context.Context, txn platform.Txn) (platform.TxnReply, error) {
+	reply, err := c.Local.Commit(ctx, txn)
 	if err != nil {
-		i.giveUp()
+		c.cancel()
 	}
 	return reply, err
 }
 
-// operate lets operators race on one row while replies are lost, and returns the history and the store.
-func operate(t *testing.T, seed uint64, accept acceptor) ([]porcupine.Operation, *store.Store) {
+// runOperators runs several operators that edit one row concurrently while replies get lost. It returns the history of
+// their operations and the store.
+func runOperators(t *testing.T, seed uint64, accept acceptor) ([]porcupine.Operation, *store.Store) {
 	t.Helper()
 	const operators, steps = 4, 15
 	s := store.New()
@@ -109,7 +114,7 @@
 				if r.IntN(4) == 0 {
 					s.SetFaults(store.Faults{LoseReplies: 1 + r.IntN(2)})
 				}
-				ops := oneStep(t, o, step, accept, writer, reader, s, start)
+				ops := editOnce(t, o, step, accept, writer, reader, s, start)
 				mu.Lock()
 				history = append(history, ops...)
 				mu.Unlock()
@@ -120,7 +125,8 @@
 	return history, s
 }
 
-func oneStep(
+// editOnce reads the row and edits it, and returns both operations.
+func editOnce(
 	t *testing.T, o, step int, accept acceptor, w *changes.Writer, r *changes.Reader, s *store.Store, start time.Time,
 ) []porcupine.Operation {
 	t.Helper()
@@ -145,11 +151,12 @@
 		Op: fmt.Sprintf("op %d %d", o, step), Author: "test",
 		Edits: []changes.Edit{{Row: next, ExpectedVersion: row.Version}},
 	})
-	set.Output = result{set: setResult(err)}
+	set.Output = result{set: resultOf(err)}
 	set.Return = time.Since(start).Nanoseconds()
 	return []porcupine.Operation{read, set}
 }
 
+// queueOf returns the queue cell of the row.
 func queueOf(row table.Row) string {
 	if row.Deleted {
 		return ""
@@ -157,7 +164,7 @@
 	return row.Cells[4]
 }
 
-func setResult(err error) string {
+func resultOf(err error) string {
 	var conflict *changes.ConflictError
 	switch {
 	case err == nil:
@@ -168,32 +175,32 @@
 	return "unknown"
 }
 
-// TestOperatorsRace holds the history of racing operators with lost replies against the model: nobody's accepted edit
-// is lost, and whoever came second is told of the conflict.
-func TestOperatorsRace(t *testing.T) {
+// TestConcurrentEditsAreLinearizable checks the history of concurrent operators with lost replies against the model: no
+// accepted edit is lost, and the later of two conflicting edits fails with a conflict.
+func TestConcurrentEditsAreLinearizable(t *testing.T) {
 	for seed := range uint64(5) {
-		history, s := operate(t, seed, honest)
-		if got, want := porcupine.CheckOperations(cell, history), true; got != want {
+		history, s := runOperators(t, seed, acceptWithOneID)
+		if got, want := porcupine.CheckOperations(rowModel, history), true; got != want {
 			t.Errorf("seed %d: linearizable: got %v, want %v", seed, got, want)
 		}
 		checkLog(t, s)
 	}
 }
 
-// TestRaceCheckCanFail shows that the check finds the mistake of trying again blindly under a new id: the change is in
-// the table, but its author is told of a conflict with his own edit.
-func TestRaceCheckCanFail(t *testing.T) {
+// TestCheckFindsBlindRetries shows that the check finds retries under a new id after a lost reply: the change is in the
+// table, but its author gets a conflict with the author's own edit.
+func TestCheckFindsBlindRetries(t *testing.T) {
 	failed := false
 	for seed := range uint64(20) {
-		history, _ := operate(t, seed, blind)
-		failed = failed || !porcupine.CheckOperations(cell, history)
+		history, _ := runOperators(t, seed, acceptWithNewIDs)
+		failed = failed || !porcupine.CheckOperations(rowModel, history)
 	}
 	if got, want := failed, true; got != want {
-		t.Errorf("some history of blind operators breaks the model: got %v, want %v", got, want)
+		t.Errorf("some history with blind retries breaks the model: got %v, want %v", got, want)
 	}
 }
 
-// checkLog reads the log as a node does and compares the result with the table.
+// checkLog reads the table's state as a node does and compares it with the row.
 func checkLog(t *testing.T, s *store.Store) {
 	t.Helper()
 	s.SetFaults(store.Faults{})
@@ -206,14 +213,14 @@
 	if err != nil {
 		t.Fatalf("row: got %v, want none", err)
 	}
-	inForce, _ := state.Row(table.KindService, "dd")
-	if got, want := queueOf(inForce), queueOf(row); got != want {
-		t.Errorf("cell in force: got %q, want %q", got, want)
+	active, _ := state.Row(table.KindService, "dd")
+	if got, want := queueOf(active), queueOf(row); got != want {
+		t.Errorf("active cell: got %q, want %q", got, want)
 	}
 }
 
-// TestConflictShowsBoth checks that the second of two operators sees both values.
-func TestConflictShowsBoth(t *testing.T) {
+// TestConflictShowsBothRows checks that the later of two conflicting operators sees both values of the row.
+func TestConflictShowsBothRows(t *testing.T) {
 	w := changes.NewWriter(store.NewLocal(store.New()))
 	first, _ := table.NewRow(table.KindService, "dd", []string{"50%"})
 	second, _ := table.NewRow(table.KindService, "dd", []string{"70%"})
@@ -230,8 +237,8 @@
 	}
 }
 
-// TestLostReply loses the reply and checks that the change is reported accepted, once; and that a change given up as
-// unknown can be settled for good.
+// TestLostReply loses the reply to a change and checks that the change is still reported as accepted, and only once. It
+// also checks that an operation that never reached the table is voided by Settle and refused when it arrives later.
 func TestLostReply(t *testing.T) {
 	s := store.New()
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
@@ -247,7 +254,7 @@
 		t.Errorf("settle: got %d and %v, want 1", got, err)
 	}
 	if got, err := w.Settle(ctx, "2"); err != nil || got != 0 {
-		t.Errorf("settle of what never came: got %d and %v, want 0", got, err)
+		t.Errorf("settle of an operation that never came: got %d and %v, want 0", got, err)
 	}
 	_, err = w.Accept(ctx, changes.Change{Op: "2", Edits: []changes.Edit{{Row: row, ExpectedVersion: 1}}})
 	if got, want := fault.CodeOf(err), fault.Conflict; got != want {
--- a/changes/view.go
+++ b/changes/readset.go
@@ -8,16 +8,21 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// view is everything a change depends on, read at one moment.
-type view struct {
+// readSet holds the records that a change depends on. They are not read atomically; the checks of the change's
+// transaction fail if any of them has changed since.
+type readSet struct {
+	// op is the record of the change's operation.
 	op       platform.Record
 	revision platform.Record
-	rows     []platform.Record
+	// rows are the records of the edited rows, in the order of the edits.
+	rows []platform.Record
+	// services are the records of the services that the edits refer to, by name.
 	services map[string]platform.Record
 }
 
-func (w *Writer) read(ctx context.Context, c Change) (view, error) {
-	references := outsideServices(c)
+// read reads the records that the change depends on.
+func (w *Writer) read(ctx context.Context, c Change) (readSet, error) {
+	references := referencedServices(c)
 	keys := make([]string, 0, 2+len(c.Edits)+len(references))
 	keys = append(keys, opPrefix+c.Op, revisionKey)
 	for _, e := range c.Edits {
@@ -28,17 +33,17 @@
 	}
 	recs, err := w.table.Get(ctx, keys...)
 	if err != nil {
-		return view{}, err
+		return readSet{}, err
 	}
-	v := view{op: recs[0], revision: recs[1], rows: recs[2 : 2+len(c.Edits)], services: make(map[string]platform.Record)}
+	set := readSet{op: recs[0], revision: recs[1], rows: recs[2 : 2+len(c.Edits)], services: make(map[string]platform.Record)}
 	for i, name := range references {
-		v.services[name] = recs[2+len(c.Edits)+i]
+		set.services[name] = recs[2+len(c.Edits)+i]
 	}
-	return v, nil
+	return set, nil
 }
 
-// outsideServices lists the services that the edits refer to and do not themselves write.
-func outsideServices(c Change) []string {
+// referencedServices lists the services that the edits refer to but do not write themselves.
+func referencedServices(c Change) []string {
 	written := make(map[string]bool)
 	for _, e := range c.Edits {
 		if e.Row.Kind == table.KindService {
@@ -57,6 +62,7 @@
 	return names
 }
 
+// serviceOf returns the service that a row refers to, "" if none.
 func serviceOf(row table.Row) string {
 	if row.Deleted {
 		return ""
@@ -72,21 +78,22 @@
 	return row.Cells[i]
 }
 
-func (v view) check(c Change) error {
+// check compares the versions of the edited rows with the expected ones, and checks that the referenced services exist.
+func (set readSet) check(c Change) error {
 	for i, e := range c.Edits {
-		if v.rows[i].Version == e.ExpectedVersion {
+		if set.rows[i].Version == e.ExpectedVersion {
 			continue
 		}
 		theirs := table.Row{Kind: e.Row.Kind, Key: e.Row.Key, Deleted: true}
-		if v.rows[i].Version != 0 {
+		if set.rows[i].Version != 0 {
 			var err error
-			if theirs, err = decodeRow(v.rows[i]); err != nil {
+			if theirs, err = decodeRow(set.rows[i]); err != nil {
 				return err
 			}
 		}
 		return &ConflictError{Mine: e.Row, Theirs: theirs}
 	}
-	for name, rec := range v.services {
+	for name, rec := range set.services {
 		if rec.Version == 0 {
 			return fault.New(fault.BadRow, name, "no such service")
 		}
@@ -94,20 +101,21 @@
 	return nil
 }
 
-// txn builds the one transaction that accepts the change at the next revision.
+// txn builds the transaction that accepts the change at the next revision.
 //
-// Invariant: every accepted change checks and rewrites the revision record, so revisions are taken one at a time.
-func (v view) txn(c Change) (platform.Txn, uint64, error) {
+// Invariant: every accepted change checks and rewrites the revision record, so changes commit one after the other and
+// no two of them get the same revision.
+func (set readSet) txn(c Change) (platform.Txn, uint64, error) {
 	var current revisionRecord
-	if v.revision.Version != 0 {
-		if err := decode(v.revision, &current); err != nil {
+	if set.revision.Version != 0 {
+		if err := decode(set.revision, &current); err != nil {
 			return platform.Txn{}, 0, err
 		}
 	}
 	next := current.Revision + 1
 	txn := platform.Txn{Checks: []platform.Check{
 		{Key: opPrefix + c.Op},
-		{Key: revisionKey, Version: v.revision.Version},
+		{Key: revisionKey, Version: set.revision.Version},
 	}}
 	entry := Entry{Revision: next, Op: c.Op, Author: c.Author, Source: c.Source}
 	for i, e := range c.Edits {
@@ -122,17 +130,18 @@
 			return platform.Txn{}, 0, err
 		}
 		write.Delete = row.Deleted
-		txn.Checks = append(txn.Checks, platform.Check{Key: write.Key, Version: v.rows[i].Version})
+		txn.Checks = append(txn.Checks, platform.Check{Key: write.Key, Version: set.rows[i].Version})
 		txn.Writes = append(txn.Writes, write)
 		entry.Rows = append(entry.Rows, rec)
 	}
-	for name, rec := range v.services {
+	for name, rec := range set.services {
 		txn.Checks = append(txn.Checks, platform.Check{Key: rowKey(table.KindService, name), Version: rec.Version})
 	}
-	return v.seal(txn, entry)
+	return set.addRecords(txn, entry)
 }
 
-func (v view) seal(txn platform.Txn, entry Entry) (platform.Txn, uint64, error) {
+// addRecords adds the writes of the revision record, the log entry and the operation record to a transaction.
+func (set readSet) addRecords(txn platform.Txn, entry Entry) (platform.Txn, uint64, error) {
 	records := []struct {
 		key   string
 		value any
--- a/changes/records.go
+++ b/changes/records.go
@@ -9,7 +9,7 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// The records of the platform's table, by the start of their keys.
+// The keys, or prefixes of keys, of the records in the platform's table.
 const (
 	revisionKey = "meta/revision"
 	rowPrefix   = "row/"
@@ -17,19 +17,19 @@
 	opPrefix    = "op/"
 )
 
-// revisionRecord is the value of the one record that every accepted change rewrites.
+// revisionRecord is the value of the record under revisionKey, which every accepted change rewrites.
 type revisionRecord struct {
 	Revision uint64 `json:"revision"`
 }
 
-// opRecord is the value of an operation's record.
+// opRecord is the value of an operation's record, which shows whether the operation was accepted or voided.
 type opRecord struct {
-	// Revision is where the operation was accepted, 0 for one that was voided.
+	// Revision is the revision at which the operation was accepted, 0 if it was voided.
 	Revision uint64 `json:"revision"`
 	Void     bool   `json:"void,omitempty"`
 }
 
-// rowRecord is a row as the table keeps it: cells by column, so that columns can be added.
+// rowRecord is the stored form of a row. Cells are stored by column name, so that columns can be added.
 type rowRecord struct {
 	Kind     string            `json:"kind"`
 	Key      string            `json:"key"`
@@ -38,17 +38,17 @@
 	Cells    map[string]string `json:"cells,omitempty"`
 }
 
-// Entry is one accepted change as the log keeps it.
+// Entry is one accepted change as stored in the log.
 type Entry struct {
-	// Revision is the change's place in the fleet-wide order.
+	// Revision is the position of the change in the fleet-wide order.
 	Revision uint64 `json:"revision"`
-	// Op is the operation id that the operator's tool drew.
+	// Op is the operation id that the operator's tool generated.
 	Op string `json:"op"`
-	// Author is who made the change.
+	// Author names the person or tool that made the change.
 	Author string `json:"author"`
-	// Source is the revision of the declarations, if the change came from version control.
+	// Source is the version-control revision of the declarations, if the change came from there.
 	Source string `json:"source,omitempty"`
-	// Rows are the rows after the change.
+	// Rows are the changed rows, as they are after the change.
 	Rows []rowRecord `json:"rows"`
 }
 
@@ -72,8 +72,8 @@
 	return rec, nil
 }
 
-// fromRecord reads a row, BadRow for one of a sheet that this program does not know. Columns that it does not know are left out, so
-// that old nodes read new rows; a cell that cannot be read stays as it is, for the state to set the row aside.
+// fromRecord decodes a row. It fails with BadRow for an unknown kind of row. Unknown columns are skipped, so that older
+// nodes can read newer rows. A cell that cannot be decoded keeps its text, and the state later sets the row aside.
 func fromRecord(rec rowRecord, version uint64) (table.Row, error) {
 	sheet, err := table.SheetNamed(rec.Kind)
 	if err != nil {
@@ -102,7 +102,7 @@
 
 func decode(r platform.Record, out any) error {
 	if err := json.Unmarshal(r.Value, out); err != nil {
-		return fault.Wrap(err, fault.Protocol, r.Key, "record cannot be read")
+		return fault.Wrap(err, fault.Protocol, r.Key, "record cannot be decoded")
 	}
 	return nil
 }
