--- a/tablefile/csv.go
+++ b/tablefile/csv.go
@@ -12,64 +12,64 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// The columns of a CSV sheet besides the kind's own.
+// The columns of a CSV file besides those of its kind of row. Only the key column is required.
 const (
 	keyColumn     = "key"
 	versionColumn = "version"
 )
 
-// Line is a row with its place in a file.
+// FileRow is a row with its position in the file it was read from.
 type FileRow struct {
 	table.Row
-	// Where is the file and line.
+	// Position is the file and line, as "file:line".
 	Position string
-	// Versioned is set when the file gives the row's version.
+	// HasVersion is set if the file states the row's version.
 	HasVersion bool
 }
 
-// ReadCSV reads one sheet; it returns every fault at once, each with file, line and field. Columns may come in any
-// order and may be missing; an empty cell takes the column's default.
+// ReadCSV reads the rows of one sheet. It reports all errors in the file together, each with file, line and field.
+// Columns may be in any order, and columns other than the key may be missing; an empty cell takes the column's default.
 func ReadCSV(name string, r io.Reader, sheet table.Sheet) ([]FileRow, error) {
 	in := csv.NewReader(r)
 	in.FieldsPerRecord = -1
-	head, err := in.Read()
+	header, err := in.Read()
 	if err != nil {
-		return nil, fault.Wrap(err, fault.BadRow, name+":1", "want a line of headings")
+		return nil, fault.Wrap(err, fault.BadRow, name+":1", "want a header line")
 	}
-	places, bad := headings(name, head, sheet)
+	columns, bad := headings(name, header, sheet)
 	if len(bad) > 0 {
 		return nil, bad
 	}
-	var lines []FileRow
+	var rows []FileRow
 	for {
 		record, err := in.Read()
 		if errors.Is(err, io.EOF) {
-			return lines, bad.OrNil()
+			return rows, bad.OrNil()
 		}
 		if err != nil {
-			return nil, append(bad, fault.Wrap(err, fault.BadRow, name, "not CSV"))
+			return nil, append(bad, fault.Wrap(err, fault.BadRow, name, "not valid CSV"))
 		}
 		n, _ := in.FieldPos(0)
-		where := name + ":" + strconv.Itoa(n)
-		if len(record) != len(head) {
-			detail := fmt.Sprintf("want %d cells, got %d", len(head), len(record))
-			bad = append(bad, fault.New(fault.BadRow, where, detail))
+		position := name + ":" + strconv.Itoa(n)
+		if len(record) != len(header) {
+			detail := fmt.Sprintf("want %d cells, got %d", len(header), len(record))
+			bad = append(bad, fault.New(fault.BadRow, position, detail))
 			continue
 		}
-		line, faults := readRecord(where, record, places, sheet)
-		bad = append(bad, faults...)
-		lines = append(lines, line)
+		row, errs := readRecord(position, record, columns, sheet)
+		bad = append(bad, errs...)
+		rows = append(rows, row)
 	}
 }
 
-// headings returns for each cell of a record the name of its column.
-func headings(name string, head []string, sheet table.Sheet) ([]string, fault.ListError) {
+// headings returns the name of the column of each cell in a record, and the errors in the header line.
+func headings(name string, header []string, sheet table.Sheet) ([]string, fault.ListError) {
 	var bad fault.ListError
 	seen := make(map[string]bool)
-	places := make([]string, len(head))
-	for i, text := range head {
+	columns := make([]string, len(header))
+	for i, text := range header {
 		text = strings.TrimSpace(text)
-		places[i] = text
+		columns[i] = text
 		_, err := sheet.Column(text)
 		switch {
 		case seen[text]:
@@ -82,16 +82,17 @@
 	if !seen[keyColumn] {
 		bad = append(bad, fault.New(fault.BadRow, name+":1", `want a column "key"`))
 	}
-	return places, bad
+	return columns, bad
 }
 
-func readRecord(where string, record, places []string, sheet table.Sheet) (FileRow, fault.ListError) {
+// readRecord returns the row of one record and the errors in it.
+func readRecord(position string, record, columns []string, sheet table.Sheet) (FileRow, fault.ListError) {
 	var bad fault.ListError
 	var key string
 	var version uint64
-	line := FileRow{Position: where}
+	fileRow := FileRow{Position: position}
 	cells := make([]string, len(sheet.Columns))
-	for i, column := range places {
+	for i, column := range columns {
 		text := strings.TrimSpace(record[i])
 		switch column {
 		case keyColumn:
@@ -99,45 +100,45 @@
 		case versionColumn:
 			v, err := strconv.ParseUint(text, 10, 64)
 			if err != nil {
-				bad = append(bad, fault.New(fault.BadRow, where+" version", "want a whole number, got "+strconv.Quote(text)))
+				bad = append(bad, fault.New(fault.BadRow, position+" version", "want a whole number, got "+strconv.Quote(text)))
 			}
-			version, line.HasVersion = v, true
+			version, fileRow.HasVersion = v, true
 		default:
-			at, _ := sheet.Column(column)
-			cells[at] = text
+			index, _ := sheet.Column(column)
+			cells[index] = text
 		}
 	}
 	row, err := table.NewRow(sheet.Kind, key, cells)
 	row.Version = version
-	line.Row = row
-	return line, append(bad, placed(where, err)...)
+	fileRow.Row = row
+	return fileRow, append(bad, withPosition(position, err)...)
 }
 
-// placed puts the file and line before each fault of a row.
-func placed(where string, err error) fault.ListError {
+// withPosition returns the errors of a row, each with the row's position in front.
+func withPosition(position string, err error) fault.ListError {
 	var list fault.ListError
 	if err == nil {
 		return nil
 	}
 	if !errors.As(err, &list) {
-		return fault.ListError{fault.Wrap(err, fault.BadRow, where, "row cannot be read")}
+		return fault.ListError{fault.Wrap(err, fault.BadRow, position, "row cannot be read")}
 	}
 	out := make(fault.ListError, 0, len(list))
 	for _, e := range list {
-		out = append(out, fault.New(e.Code, where+": "+e.Where, e.Detail))
+		out = append(out, fault.New(e.Code, position+": "+e.Where, e.Detail))
 	}
 	return out
 }
 
-// WriteCSV writes one sheet with keys and versions.
+// WriteCSV writes rows of one sheet with their keys and versions.
 func WriteCSV(w io.Writer, sheet table.Sheet, rows []table.Row) error {
 	out := csv.NewWriter(w)
-	head := make([]string, 0, len(sheet.Columns)+2)
-	head = append(head, keyColumn, versionColumn)
+	header := make([]string, 0, len(sheet.Columns)+2)
+	header = append(header, keyColumn, versionColumn)
 	for _, c := range sheet.Columns {
-		head = append(head, c.Name)
+		header = append(header, c.Name)
 	}
-	if err := out.Write(head); err != nil {
+	if err := out.Write(header); err != nil {
 		return fault.Wrap(err, fault.Unavailable, "output", "cannot be written")
 	}
 	for _, r := range rows {
--- a/tablefile/dir.go
+++ b/tablefile/dir.go
@@ -11,7 +11,8 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// ReadFile reads a .yaml or .csv file; kind names the sheet of a CSV file, "" for the file's own name.
+// ReadFile reads a .yaml, .yml or .csv file. The rows of a CSV file are of the given kind; if kind is "", the file's
+// name without its extension names the kind.
 func ReadFile(path, kind string) ([]FileRow, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -33,48 +34,50 @@
 	return nil, fault.New(fault.BadRow, path, "want a .yaml or .csv file")
 }
 
-// ReadDir reads every .yaml and .csv file of a directory and refuses rows that stand in two places.
+// ReadDir reads every .yaml, .yml and .csv file of a directory and reports rows that occur more than once.
 func ReadDir(dir string) ([]FileRow, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
 		return nil, fault.Wrap(err, fault.BadRow, dir, "cannot be read")
 	}
-	var lines []FileRow
+	var rows []FileRow
 	var bad fault.ListError
 	for _, e := range entries {
 		if e.IsDir() || !slices.Contains([]string{".yaml", ".yml", ".csv"}, filepath.Ext(e.Name())) {
 			continue
 		}
-		more, err := ReadFile(filepath.Join(dir, e.Name()), "")
+		fileRows, err := ReadFile(filepath.Join(dir, e.Name()), "")
 		if err != nil {
-			bad = append(bad, placedFile(err)...)
+			bad = append(bad, asList(err)...)
 		}
-		lines = append(lines, more...)
+		rows = append(rows, fileRows...)
 	}
-	return lines, append(bad, twice(lines)...).OrNil()
+	return rows, append(bad, findDuplicates(rows)...).OrNil()
 }
 
-func placedFile(err error) fault.ListError {
-	if list, ok := err.(fault.ListError); ok { //nolint:errorlint // the readers return it bare
+// asList returns the errors of a file as a list.
+func asList(err error) fault.ListError {
+	if list, ok := err.(fault.ListError); ok { //nolint:errorlint // the readers return the list unwrapped
 		return list
 	}
 	return fault.ListError{fault.Wrap(err, fault.BadRow, "", "file cannot be read")}
 }
 
-func twice(lines []FileRow) fault.ListError {
+// findDuplicates returns an error for each row that has the kind and key of an earlier row.
+func findDuplicates(rows []FileRow) fault.ListError {
 	type id struct {
 		kind table.Kind
 		key  string
 	}
 	first := make(map[id]string)
 	var bad fault.ListError
-	for _, l := range lines {
-		i := id{l.Kind, l.Key}
-		if at, ok := first[i]; ok {
-			bad = append(bad, fault.New(fault.BadRow, l.Position+": "+l.Kind.String()+" "+l.Key, "stands already at "+at))
+	for _, r := range rows {
+		i := id{r.Kind, r.Key}
+		if position, ok := first[i]; ok {
+			bad = append(bad, fault.New(fault.BadRow, r.Position+": "+r.Kind.String()+" "+r.Key, "stands already at "+position))
 			continue
 		}
-		first[i] = l.Position
+		first[i] = r.Position
 	}
 	return bad
 }
--- a/tablefile/doc.go
+++ b/tablefile/doc.go
@@ -1,2 +1,3 @@
-// Package tablefile reads and writes rows as CSV and YAML, as operators keep them in spreadsheets and version control.
+// Package tablefile reads and writes the rows of the platform's table as CSV and YAML files, the forms in which
+// operators keep them in spreadsheets and version control.
 package tablefile
--- a/tablefile/script_test.go
+++ b/tablefile/script_test.go
@@ -10,14 +10,15 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// TestScripts reads the inputs of testdata as "csv kind=K" or "yaml" and prints the rows, or every fault.
+// TestScripts runs the scripts in testdata. The commands "csv kind=K" and "yaml" read their input and print the rows,
+// or all errors.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
-			var lines []FileRow
+			var fileRows []FileRow
 			var err error
 			if d.Cmd == "yaml" {
-				lines, err = ReadYAML("in.yaml", []byte(d.Input))
+				fileRows, err = ReadYAML("in.yaml", []byte(d.Input))
 			} else {
 				kind := ""
 				d.ScanArgs(t, "kind", &kind)
@@ -25,13 +26,13 @@
 				if sheetErr != nil {
 					d.Fatalf(t, "%v", sheetErr)
 				}
-				lines, err = ReadCSV("in.csv", strings.NewReader(d.Input), sheet)
+				fileRows, err = ReadCSV("in.csv", strings.NewReader(d.Input), sheet)
 			}
 			if err != nil {
 				return err.Error() + "\n"
 			}
 			var b strings.Builder
-			for _, l := range lines {
+			for _, l := range fileRows {
 				b.WriteString(l.Position + " " + l.Kind.String() + " " + l.Key + " " + strings.Join(l.Cells, " ") + "\n")
 			}
 			return b.String()
@@ -39,7 +40,7 @@
 	})
 }
 
-// TestRoundTrip writes rows in both forms and reads them back.
+// TestRoundTrip writes a row as CSV and as YAML and reads it back.
 func TestRoundTrip(t *testing.T) {
 	row, err := table.NewRow(table.KindEndpoint, "e1", []string{"dd", "h1", "hall, one", "127.0.0.1:1", "3"})
 	if err != nil {
--- a/tablefile/yaml.go
+++ b/tablefile/yaml.go
@@ -10,8 +10,8 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// ReadYAML reads declarations: sheets by name, in each the rows by key, in each the cells by column. It returns every
-// fault at once, each with file, line and field.
+// ReadYAML reads declarations: a mapping from kinds of row to mappings from keys to rows, each of which maps columns to
+// cells. It reports all errors in the file together, each with file, line and field.
 func ReadYAML(name string, text []byte) ([]FileRow, error) {
 	var root yaml.Node
 	if err := yaml.Unmarshal(text, &root); err != nil {
@@ -22,26 +22,29 @@
 	}
 	d := declarations{name: name}
 	d.entries(root.Content[0], d.sheet)
-	return d.lines, d.bad.OrNil()
+	return d.rows, d.bad.OrNil()
 }
 
+// declarations collects the rows and the errors of one file.
 type declarations struct {
-	name  string
-	lines []FileRow
-	bad   fault.ListError
+	name string
+	rows []FileRow
+	bad  fault.ListError
 }
 
-func (d *declarations) where(n *yaml.Node) string { return d.name + ":" + strconv.Itoa(n.Line) }
+// position returns the file and line of a node.
+func (d *declarations) position(n *yaml.Node) string { return d.name + ":" + strconv.Itoa(n.Line) }
 
+// fail adds an error at a node; field is "" if the error concerns the whole node.
 func (d *declarations) fail(n *yaml.Node, field, detail string) {
-	where := d.where(n)
+	where := d.position(n)
 	if field != "" {
 		where += ": " + field
 	}
 	d.bad = append(d.bad, fault.New(fault.BadRow, where, detail))
 }
 
-// entries visits a mapping and refuses keys that stand twice.
+// entries visits the entries of a mapping and reports duplicate keys. A null node counts as an empty mapping.
 func (d *declarations) entries(n *yaml.Node, visit func(key, value *yaml.Node)) {
 	if n.Kind == yaml.ScalarNode && n.Tag == "!!null" {
 		return
@@ -61,6 +64,7 @@
 	}
 }
 
+// sheet reads the rows of one kind.
 func (d *declarations) sheet(key, value *yaml.Node) {
 	sheet, err := table.SheetNamed(key.Value)
 	if err != nil {
@@ -70,25 +74,26 @@
 	d.entries(value, func(rowKey, cells *yaml.Node) { d.row(sheet, rowKey, cells) })
 }
 
+// row reads the cells of one row.
 func (d *declarations) row(sheet table.Sheet, key, value *yaml.Node) {
 	cells := make([]string, len(sheet.Columns))
 	d.entries(value, func(column, cell *yaml.Node) {
-		at, err := sheet.Column(column.Value)
+		index, err := sheet.Column(column.Value)
 		switch {
 		case err != nil:
 			d.fail(column, sheet.Name+" "+key.Value+" "+column.Value, "no such column")
 		case cell.Kind != yaml.ScalarNode:
 			d.fail(cell, sheet.Name+" "+key.Value+" "+column.Value, "want one value")
 		default:
-			cells[at] = cell.Value
+			cells[index] = cell.Value
 		}
 	})
 	row, err := table.NewRow(sheet.Kind, key.Value, cells)
-	d.bad = append(d.bad, placed(d.where(key), err)...)
-	d.lines = append(d.lines, FileRow{Row: row, Position: d.where(key)})
+	d.bad = append(d.bad, withPosition(d.position(key), err)...)
+	d.rows = append(d.rows, FileRow{Row: row, Position: d.position(key)})
 }
 
-// WriteYAML writes rows of any kinds as declarations that ReadYAML reads.
+// WriteYAML writes rows of any kinds as declarations that ReadYAML can read.
 func WriteYAML(w io.Writer, rows []table.Row) error {
 	root := &yaml.Node{Kind: yaml.MappingNode}
 	sheets := make(map[table.Kind]*yaml.Node)
@@ -114,6 +119,7 @@
 	return enc.Close()
 }
 
+// scalar returns a string node.
 func scalar(text string) *yaml.Node {
 	return &yaml.Node{Kind: yaml.ScalarNode, Tag: "!!str", Value: text}
 }
