--- a/announce/calls_test.go
+++ b/announce/calls_test.go
@@ -66,7 +66,7 @@
 			t.Cleanup(func() { _ = a.Stop(context.Background()) })
 			a.Announce(endpoints(c.endpoint))
 			waitForAnnouncement(t, s, "announcement", hasEndpoint(c.endpoint))
-			// The first delay ends within this time and triggers another comparison with the store.
+			// The first delay ends within this time; the announcer then checks its announcement again.
 			time.Sleep(2 * firstDelay)
 			if got := counted.reads.Load(); got != 0 {
 				t.Errorf("reads: got %d, want 0", got)
