--- a/announce/announce_test.go
+++ b/announce/announce_test.go
@@ -120,11 +120,11 @@
 
 type unreachable map[string]time.Time
 
-func (u unreachable) Unreachable(address string) time.Time { return u[address] }
+func (u unreachable) UnreachableSince(address string) time.Time { return u[address] }
 
-func (u unreachable) Reached(address string) bool { return u[address].IsZero() }
+func (u unreachable) LinkHealthy(address string) bool { return u[address].IsZero() }
 
-func (unreachable) Keep(string) {}
+func (unreachable) KeepOpen(string) {}
 
 // TestIsolatedReaperRemovesNothing checks that a node which cannot reach most of the other hosts removes none of them.
 func TestIsolatedReaperRemovesNothing(t *testing.T) {
--- a/announce/announcer.go
+++ b/announce/announcer.go
@@ -109,11 +109,11 @@
 // process of this node has left.
 func (a *Announcer) Observe(snap *configsync.Snapshot) {
 	a.mu.Lock()
-	if a.storedVersion == 0 && snap.SelfLine.Version != 0 {
-		a.adopt(snap.SelfLine, snap.SelfLine.Version)
+	if a.storedVersion == 0 && snap.StoredAnnouncement.Version != 0 {
+		a.adopt(snap.StoredAnnouncement, snap.StoredAnnouncement.Version)
 	}
-	newer := a.storedVersion != 0 && snap.State.Revisions()[table.PlaneHosts] > a.storedVersion
-	changed := newer && (snap.SelfLine.Incarnation != a.incarnation || snap.SelfLine.Version > a.storedVersion)
+	newer := a.storedVersion != 0 && snap.State.Revisions()[table.SourceHosts] > a.storedVersion
+	changed := newer && (snap.StoredAnnouncement.Incarnation != a.incarnation || snap.StoredAnnouncement.Version > a.storedVersion)
 	restore := changed && !a.withdrawn
 	if restore {
 		a.confirmed = false
--- a/announce/calls_test.go
+++ b/announce/calls_test.go
@@ -57,7 +57,7 @@
 			}, &log, counted)
 			snap := &configsync.Snapshot{State: table.NewState(), Ready: true}
 			if c.observed {
-				snap.SelfLine, _ = storedAnnouncement(t, s)
+				snap.StoredAnnouncement, _ = storedAnnouncement(t, s)
 			}
 			a.Observe(snap)
 			if err := a.Start(t.Context()); err != nil {
@@ -91,7 +91,7 @@
 		Host:          table.HostInfo{ID: "h1", Hall: "hall-1", Address: "127.0.0.1:1", Incarnation: 2},
 		RetryInterval: 5 * time.Millisecond, Timeout: time.Second,
 	}, &log, store.NewLocal(s))
-	restarted.Observe(&configsync.Snapshot{State: table.NewState(), SelfLine: h, Ready: true})
+	restarted.Observe(&configsync.Snapshot{State: table.NewState(), StoredAnnouncement: h, Ready: true})
 	if err := restarted.Start(t.Context()); err != nil {
 		t.Fatal(err)
 	}
--- a/announce/reaper.go
+++ b/announce/reaper.go
@@ -18,11 +18,11 @@
 type Links interface {
 	// Unreachable returns the time since which a peer has been unreachable, the zero time for a peer that is reachable
 	// or was not tried.
-	Unreachable(address string) time.Time
+	UnreachableSince(address string) time.Time
 	// Reached reports whether there is a link to the peer that is not suspect.
-	Reached(address string) bool
+	LinkHealthy(address string) bool
 	// Keep opens a link to a peer and keeps it open.
-	Keep(address string)
+	KeepOpen(address string)
 }
 
 // Reaper removes the announcements of expired hosts: those that have been unreachable for too long. It is a kernel
@@ -88,7 +88,7 @@
 	var list []table.HostInfo
 	h, ok := r.nextOnRing(hosts, r.host)
 	for ; ok; h, ok = r.nextOnRing(hosts, h.ID) {
-		r.links.Keep(h.Address)
+		r.links.KeepOpen(h.Address)
 		if !r.unreachableTooLong(now, h) {
 			break
 		}
@@ -118,7 +118,7 @@
 
 // unreachableTooLong reports whether this node has been unable to reach a host for longer than the limit.
 func (r *Reaper) unreachableTooLong(now time.Time, h table.HostInfo) bool {
-	since := r.links.Unreachable(h.Address)
+	since := r.links.UnreachableSince(h.Address)
 	return !since.IsZero() && now.Sub(since) > r.unreachableLimit
 }
 
@@ -131,7 +131,7 @@
 		case h.ID == r.host:
 		case r.unreachableTooLong(now, h):
 			unreachable++
-		case r.links.Reached(h.Address):
+		case r.links.LinkHealthy(h.Address):
 			reachable++
 		}
 	}
--- a/announce/reaper_test.go
+++ b/announce/reaper_test.go
@@ -18,16 +18,18 @@
 	kept map[string]bool
 }
 
-func (l *linkModel) Unreachable(address string) time.Time {
+func (l *linkModel) UnreachableSince(address string) time.Time {
 	if !l.kept[address] {
 		return time.Time{}
 	}
 	return l.down[address]
 }
 
-func (l *linkModel) Reached(address string) bool { return l.kept[address] && l.down[address].IsZero() }
+func (l *linkModel) LinkHealthy(address string) bool {
+	return l.kept[address] && l.down[address].IsZero()
+}
 
-func (l *linkModel) Keep(address string) { l.kept[address] = true }
+func (l *linkModel) KeepOpen(address string) { l.kept[address] = true }
 
 // TestEachExpiredHostIsRemovedOnce draws fleets of up to 120 hosts of which some are expired. Exactly one of the others
 // must remove each expired host, and the links opened for watching must not outnumber the hosts.
--- a/bench/scale.go
+++ b/bench/scale.go
@@ -313,7 +313,7 @@
 			Revision uint64    `json:"revision"`
 			Time     time.Time `json:"time"`
 		}
-		if json.Unmarshal(lines.Bytes(), &l) == nil && l.Event == events.RevisionInForce.Number {
+		if json.Unmarshal(lines.Bytes(), &l) == nil && l.Event == events.RevisionActivated.Number {
 			out = append(out, inForce{l.Revision, l.Time})
 		}
 	}
--- a/egress/keys.go
+++ b/egress/keys.go
@@ -83,7 +83,7 @@
 		return
 	}
 	k.seen = s.Revisions()
-	bounds := s.RegionBounds()
+	bounds := s.RegionRulesHash()
 	if bounds != k.bounds && k.ready {
 		clear(k.lists)
 		k.ready = false
@@ -209,7 +209,7 @@
 }
 
 // HandOver implements peer.HandOver.
-func (s *keepingSink) HandOver() bool { return peer.MayHandOver(s.Sink) }
+func (s *keepingSink) AllowDispatch() bool { return peer.AllowsDispatch(s.Sink) }
 
 // Head implements peer.Sink.
 func (s *keepingSink) Head(h *peerpb.Head, soon bool) error {
--- a/egress/offer.go
+++ b/egress/offer.go
@@ -51,7 +51,7 @@
 		return false, peer.NotRun(fault.Suspect, l.pauseLeft(time.Now()))
 	}
 	if p, ok := sink.(peer.Permitter); ok && d.GetWait() {
-		p.Waiting()
+		p.Queued()
 	}
 	if end := e.admit(ctx, l, d); end != nil {
 		return false, end
@@ -95,7 +95,7 @@
 func (e *Egress) logRefusal(l *local, d *peerpb.Dispatch, end *peerpb.End) {
 	line := events.OfferRefused.Log(e.log).Str("request", d.GetRequestId()).Str("endpoint", d.GetEndpoint()).
 		Str("service", d.GetService()).Str("code", end.GetCode()).Uint64("config", d.GetConfig()).
-		Uint64("holds", e.state().Revisions()[table.PlaneConfig]).Uint64("seen", e.configs.newest[table.PlaneConfig].Load())
+		Uint64("holds", e.state().Revisions()[table.SourceConfig]).Uint64("seen", e.configs.newest[table.SourceConfig].Load())
 	if l != nil {
 		line.Uint32("busy", end.GetLoad().GetBusy()).Uint32("queued", end.GetLoad().GetQueued()).
 			Uint32("slots", end.GetLoad().GetSlots()).Str("breaker", l.breakerState().String())
@@ -121,7 +121,7 @@
 	due := l.due(d)
 	p, asks := sink.(peer.Permitter)
 	if !asks {
-		if !peer.MayHandOver(sink) {
+		if !peer.AllowsDispatch(sink) {
 			l.untry(trial)
 			return false, peer.NotRun(fault.Stopping, 0)
 		}
--- a/quarantine/keeper.go
+++ b/quarantine/keeper.go
@@ -32,7 +32,7 @@
 // Links are the node's links to its peers.
 type Links interface {
 	// TellEnded tells at most so many connected peers, all of them below 0, of an endpoint that ended; it does not wait.
-	TellEnded(word *peerpb.Ended, most int)
+	SendPoisonReport(word *peerpb.Ended, most int)
 }
 
 // Config is the keeper's section of the settings.
@@ -135,7 +135,7 @@
 	k.known.lift(c, k.known.of(c))
 	k.publish()
 	k.poke()
-	k.links.TellEnded(&peerpb.Ended{Contents: [][]byte{c[:]}, Ran: true}, -1)
+	k.links.SendPoisonReport(&peerpb.Ended{Contents: [][]byte{c[:]}, Ran: true}, -1)
 }
 
 // hearRan takes a peer's word that contents ran well, and passes on what of it is news.
@@ -157,7 +157,7 @@
 	if len(next.GetContents()) > 0 {
 		k.publish()
 		k.poke()
-		k.links.TellEnded(next, passOn)
+		k.links.SendPoisonReport(next, passOn)
 	}
 }
 
@@ -177,7 +177,7 @@
 	k.publish()
 	k.mu.Unlock()
 	if len(word.GetContents()) > 0 {
-		k.links.TellEnded(word, -1)
+		k.links.SendPoisonReport(word, -1)
 		k.poke()
 	}
 }
@@ -214,21 +214,21 @@
 	k.publish()
 	k.mu.Unlock()
 	if len(next.GetContents()) > 0 {
-		k.links.TellEnded(next, passOn)
+		k.links.SendPoisonReport(next, passOn)
 	}
 }
 
 // Observe takes a new snapshot in force.
 func (k *Tracker) Observe(snap *configsync.Snapshot) {
-	revision := snap.State.Revisions()[table.PlaneFatal]
+	revision := snap.State.Revisions()[table.SourcePoison]
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if revision == k.revision {
 		return
 	}
 	k.revision = revision
-	rows := make(map[poison.Fingerprint]table.Entry[table.Fatal])
-	snap.State.Fatals(func(e table.Entry[table.Fatal]) {
+	rows := make(map[poison.Fingerprint]table.Entry[table.PoisonRequest])
+	snap.State.PoisonRequests(func(e table.Entry[table.PoisonRequest]) {
 		if c, ok := poison.ParseFingerprint(e.Key); ok {
 			rows[c] = e
 		}
@@ -245,13 +245,13 @@
 	for c, n := range ends {
 		if n >= poison.BlockThreshold && old[c] < poison.BlockThreshold {
 			f := k.known.of(c)
-			events.RequestBarred.Log(k.log).Stringer("content", c).Str("service", f.Service).
+			events.RequestBlocked.Log(k.log).Stringer("content", c).Str("service", f.Service).
 				Strs("ends", f.Ends.List()).Time("at", f.At.Time()).Send()
 		}
 	}
 	for c, n := range old {
 		if _, ok := ends[c]; !ok && n >= poison.BlockThreshold {
-			events.RequestLifted.Log(k.log).Stringer("content", c).Send()
+			events.RequestUnblocked.Log(k.log).Stringer("content", c).Send()
 		}
 	}
 	k.ends.Store(&ends)
