--- a/announce/announce_test.go
+++ b/announce/announce_test.go
@@ -118,11 +118,11 @@
 
 type unreachable map[string]time.Time
 
-func (u unreachable) Unreachable(address string) time.Time { return u[address] }
+func (u unreachable) UnreachableSince(address string) time.Time { return u[address] }
 
-func (u unreachable) Reached(address string) bool { return u[address].IsZero() }
+func (u unreachable) LinkHealthy(address string) bool { return u[address].IsZero() }
 
-func (unreachable) Keep(string) {}
+func (unreachable) KeepOpen(string) {}
 
 // TestReaperDoubtsItself checks that a node which has lost most of the others takes none of them out.
 func TestReaperDoubtsItself(t *testing.T) {
--- a/configsync/confirm_test.go
+++ b/configsync/confirm_test.go
@@ -57,8 +57,8 @@
 		log := zerolog.Nop()
 		var f *Follower
 		links := peer.NewManager(peer.Config{
-			Node: h.ID, Hall: "hall-1", Listen: h.Address, Heartbeat: 50 * time.Millisecond, CutAfter: 5 * time.Second, IdleClose: time.Minute, Conns: 10,
-		}, &log, peer.WithBeatHook(func(name string, r table.Revisions) { f.Hint(name, r) }))
+			Node: h.ID, Hall: "hall-1", Listen: h.Address, Heartbeat: 50 * time.Millisecond, EchoTimeout: 5 * time.Second, IdleTimeout: time.Minute, MaxConns: 10,
+		}, &log, peer.WithRevisionHook(func(name string, r table.Revisions) { f.Hint(name, r) }))
 		f = New(Config{
 			Host: h.ID, Hall: "hall-1", Retry: 10 * time.Second, Wait: 200 * time.Millisecond, Readers: 1, ConfigReaders: 1,
 			Timeout: time.Second, WithConfig: true,
--- a/configsync/follow_test.go
+++ b/configsync/follow_test.go
@@ -20,7 +20,7 @@
 func startFollower(t *testing.T, s *store.Store) *Follower {
 	t.Helper()
 	log := zerolog.Nop()
-	links := peer.NewManager(peer.Config{Node: "h1", Hall: "hall-1", Heartbeat: time.Second, CutAfter: time.Second}, &log)
+	links := peer.NewManager(peer.Config{Node: "h1", Hall: "hall-1", Heartbeat: time.Second, EchoTimeout: time.Second}, &log)
 	f := New(Config{
 		Host: "h1", Hall: "hall-1", Retry: 5 * time.Millisecond, Wait: 200 * time.Millisecond, Readers: 2,
 		Timeout: time.Second, WithConfig: true,
@@ -185,7 +185,7 @@
 	s := store.New()
 	feeds := &feedsOfConfig{Platform: store.NewLocal(s)}
 	log := zerolog.Nop()
-	links := peer.NewManager(peer.Config{Node: "h1", Hall: "hall-1", Heartbeat: time.Second, CutAfter: time.Second}, &log)
+	links := peer.NewManager(peer.Config{Node: "h1", Hall: "hall-1", Heartbeat: time.Second, EchoTimeout: time.Second}, &log)
 	f := New(Config{Host: "h1", Hall: "hall-1", Timeout: time.Second, WithConfig: true}, &log, feeds, links)
 	s.SetOperatorRow(platform.TableOperators, "other", []byte("{}"))
 	for range 2 {
--- a/configsync/pull_test.go
+++ b/configsync/pull_test.go
@@ -20,7 +20,7 @@
 func peerOf(t *testing.T, version uint64) *Follower {
 	t.Helper()
 	log := zerolog.Nop()
-	links := peer.NewManager(peer.Config{Node: "h1", Hall: "hall-1", Heartbeat: time.Second, CutAfter: time.Second}, &log)
+	links := peer.NewManager(peer.Config{Node: "h1", Hall: "hall-1", Heartbeat: time.Second, EchoTimeout: time.Second}, &log)
 	f := New(Config{Host: "h1", Hall: "hall-1", Timeout: time.Second, WithConfig: true}, &log, nil, links)
 	holds(t, f, version)
 	return f
--- a/configsync/readers_test.go
+++ b/configsync/readers_test.go
@@ -46,7 +46,7 @@
 			configure(t, s, "1", "a")
 			p := &countingPlatform{Platform: store.NewLocal(s)}
 			log := zerolog.Nop()
-			links := peer.NewManager(peer.Config{Node: c.host, Hall: "hall-1", Heartbeat: time.Second, CutAfter: time.Second}, &log)
+			links := peer.NewManager(peer.Config{Node: c.host, Hall: "hall-1", Heartbeat: time.Second, EchoTimeout: time.Second}, &log)
 			// A node that hears from no peer begins to read by itself after ten of these.
 			const retry = 10 * time.Second
 			f := New(Config{
@@ -84,7 +84,7 @@
 	configure(t, s, "1", "a")
 	p := &countingPlatform{Platform: store.NewLocal(s)}
 	log := zerolog.Nop()
-	links := peer.NewManager(peer.Config{Node: other, Hall: "hall-1", Heartbeat: time.Second, CutAfter: time.Second}, &log)
+	links := peer.NewManager(peer.Config{Node: other, Hall: "hall-1", Heartbeat: time.Second, EchoTimeout: time.Second}, &log)
 	// A node that hears from no peer reads by itself after ten retries, which is longer than this test waits.
 	const retry = 2 * time.Second
 	f := New(Config{
--- a/egress/handover_test.go
+++ b/egress/handover_test.go
@@ -20,7 +20,7 @@
 	meanwhile func()
 }
 
-func (slowWord) Waiting() {}
+func (slowWord) Queued() {}
 
 func (s slowWord) Permit(context.Context, *peerpb.Load, time.Duration) bool {
 	s.meanwhile()
--- a/egress/kept.go
+++ b/egress/kept.go
@@ -173,7 +173,7 @@
 }
 
 // Late implements peer.Sink.
-func (s *recordingSink) Late() { s.Sink.Late() }
+func (s *recordingSink) ReportOverdue() { s.Sink.ReportOverdue() }
 
 // Due implements peer.Sink.
 func (s *recordingSink) Due(in time.Duration) { s.Sink.Due(in) }
--- a/egress/keys.go
+++ b/egress/keys.go
@@ -209,7 +209,7 @@
 }
 
 // HandOver implements peer.HandOver.
-func (s *keepingSink) HandOver() bool { return peer.MayHandOver(s.Sink) }
+func (s *keepingSink) AllowDispatch() bool { return peer.AllowsDispatch(s.Sink) }
 
 // Head implements peer.Sink.
 func (s *keepingSink) Head(h *peerpb.Head, soon bool) error {
--- a/egress/offer.go
+++ b/egress/offer.go
@@ -51,7 +51,7 @@
 		return false, peer.NotRun(fault.Suspect, l.pauseLeft(time.Now()))
 	}
 	if p, ok := sink.(peer.Permitter); ok && d.GetWait() {
-		p.Waiting()
+		p.Queued()
 	}
 	if end := e.admit(ctx, l, d); end != nil {
 		return false, end
@@ -121,7 +121,7 @@
 	due := l.due(d)
 	p, asks := sink.(peer.Permitter)
 	if !asks {
-		if !peer.MayHandOver(sink) {
+		if !peer.AllowsDispatch(sink) {
 			l.untry(trial)
 			return false, peer.NotRun(fault.Stopping, 0)
 		}
--- a/egress/serve_test.go
+++ b/egress/serve_test.go
@@ -22,7 +22,7 @@
 
 type discard struct{}
 
-func (discard) Late()                         {}
+func (discard) ReportOverdue()                {}
 func (discard) Due(time.Duration)             {}
 func (discard) Head(*peerpb.Head, bool) error { return nil }
 func (discard) Data([]byte, bool) error       { return nil }
--- a/node/config.go
+++ b/node/config.go
@@ -72,7 +72,7 @@
 	p := n.cfg.Peers
 	return peer.Config{
 		Node: n.cfg.Node.ID, Hall: n.cfg.Node.Hall, Incarnation: incarnation, Listen: p.Listen.String(),
-		Heartbeat: p.Heartbeat.Std(), CutAfter: p.CutAfter.Std(), IdleClose: p.IdleClose.Std(), Conns: p.Conns,
+		Heartbeat: p.Heartbeat.Std(), EchoTimeout: p.CutAfter.Std(), IdleTimeout: p.IdleClose.Std(), MaxConns: p.Conns,
 		TLS: config,
 	}
 }
--- a/node/node.go
+++ b/node/node.go
@@ -139,7 +139,7 @@
 	}
 	var follower *configsync.Follower
 	links := peer.NewManager(n.peerConfig(incarnation, config), n.log,
-		peer.WithBeatHook(func(name string, revisions table.Revisions) { follower.Hint(name, revisions) }))
+		peer.WithRevisionHook(func(name string, revisions table.Revisions) { follower.Hint(name, revisions) }))
 	calls := &storeCalls{metrics: m}
 	client := platform.NewClient(n.cfg.Platform.Address.String(),
 		platform.WithToken(string(n.cfg.Platform.Token)), platform.WithTimeout(n.cfg.Platform.Timeout.Std()),
@@ -262,10 +262,10 @@
 }
 
 // Ended implements peer.Handler.
-func (h handler) Ended(word *peerpb.Ended) { h.keeper.HandleReport(word) }
+func (h handler) HandleCrashReport(word *peerpb.Ended) { h.keeper.HandleReport(word) }
 
 // Lend implements peer.Handler.
-func (h handler) Lend(customer string, want int) (granted int, wait time.Duration) {
+func (h handler) GrantAllotment(customer string, want int) (granted int, wait time.Duration) {
 	loan := h.limits.Grant(customer, want)
 	return loan.Count, loan.RetryDelay
 }
--- a/node/stop.go
+++ b/node/stop.go
@@ -133,7 +133,7 @@
 	if err != nil {
 		return err
 	}
-	links.Leave()
+	links.AnnounceDraining()
 	e.Close()
 	return nil
 }
--- a/peer/news.go
+++ b/peer/news.go
@@ -10,7 +10,7 @@
 )
 
 // Leave tells every peer that this node takes nothing new.
-func (m *Manager) Leave() {
+func (m *Manager) AnnounceDraining() {
 	m.leaving.Store(true)
 	m.tell(func(string) bool { return true })
 }
@@ -55,7 +55,7 @@
 
 // TellEnded tells at most so many connected peers, all of them below 0, of an endpoint that ended; it does not wait. Which ones is drawn: a
 // word that goes from hand to hand must not stay among neighbours.
-func (m *Manager) TellEnded(word *peerpb.Ended, most int) {
+func (m *Manager) ReportCrash(word *peerpb.Ended, most int) {
 	sessions := m.dialed()
 	rand.Shuffle(len(sessions), func(i, j int) { sessions[i], sessions[j] = sessions[j], sessions[i] }) //nolint:gosec // spreads the word, no secret
 	if most >= 0 {
--- a/ratelimit/allowance.go
+++ b/ratelimit/allowance.go
@@ -274,7 +274,7 @@
 	if err != nil {
 		return quota.Allotment{}, false
 	}
-	granted, wait, err := s.Borrow(ctx, customer, want)
+	granted, wait, err := s.RequestAllotment(ctx, customer, want)
 	return quota.Allotment{Count: granted, RetryDelay: wait}, err == nil
 }
 
