--- a/peer/accept.go
+++ b/peer/accept.go
@@ -22,30 +22,30 @@
 			time.Sleep(m.cfg.Heartbeat)
 			continue
 		}
-		if m.inbound.Add(1) > int64(m.cfg.MaxConns) {
-			m.inbound.Add(-1)
+		if m.inboundConns.Add(1) > int64(m.cfg.MaxConns) {
+			m.inboundConns.Add(-1)
 			events.PeerRefused.Log(m.log).Str("peer", c.RemoteAddr().String()).Str("reason", "too many peers").Send()
 			_ = c.Close()
 			continue
 		}
-		go m.serveConn(counted{c, &m.bytes})
+		go m.serveConn(countingConn{c, &m.bytes})
 	}
 }
 
 // serveConn serves the streams of one link that a peer has opened.
 func (m *Manager) serveConn(c net.Conn) {
-	defer m.inbound.Add(-1)
+	defer m.inboundConns.Add(-1)
 	defer func() { _ = c.Close() }()
 	if err := handshake(c); err != nil {
 		events.PeerRefused.Log(m.log).Str("peer", c.RemoteAddr().String()).Err(err).Send()
 		return
 	}
-	mux, err := yamux.Server(newJoined(c), m.cfg.mux())
+	mux, err := yamux.Server(newCoalescingConn(c), m.cfg.mux())
 	if err != nil {
 		return
 	}
-	m.track(mux, c)
-	defer m.track(mux, nil)
+	m.trackAccepted(mux, c)
+	defer m.trackAccepted(mux, nil)
 	defer closeMux(c, mux)
 	for {
 		stream, err := mux.AcceptStream()
@@ -57,7 +57,7 @@
 }
 
 func handshake(c net.Conn) error {
-	if inner, ok := c.(counted); ok {
+	if inner, ok := c.(countingConn); ok {
 		c = inner.Conn
 	}
 	t, ok := c.(*tls.Conn)
@@ -73,7 +73,7 @@
 }
 
 // track notes a link that a peer has opened, or with a nil connection that it has ended.
-func (m *Manager) track(mux *yamux.Session, c net.Conn) {
+func (m *Manager) trackAccepted(mux *yamux.Session, c net.Conn) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if c != nil {
--- a/peer/beat_test.go
+++ b/peer/beat_test.go
@@ -33,12 +33,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := &Session{m: &Manager{cfg: Config{Heartbeat: 100 * time.Millisecond}}}
 			s.busyAt.Store(ms(c.busy).UnixNano())
-			s.provenAt.Store(ms(c.proven).UnixNano())
+			s.answeredAt.Store(ms(c.proven).UnixNano())
 			s.inFlight.Store(c.inFlight)
 			s.suspect.Store(c.suspect)
 			s.urgent.Store(c.urgent)
 			s.pinned.Store(c.pinned)
-			if got := s.untilBeat(ms(c.sent), ms(c.now)); got != c.want {
+			if got := s.timeToNextBeat(ms(c.sent), ms(c.now)); got != c.want {
 				t.Errorf("until the next beat: got %v, want %v", got, c.want)
 			}
 		})
@@ -54,7 +54,7 @@
 		want    uint64
 	}{{time.Millisecond, 0}, {-time.Millisecond, 3}} {
 		s := &Session{pending: 3, pendingAt: start}
-		s.proved(start.Add(c.offered))
+		s.recordAnsweredOffer(start.Add(c.offered))
 		if got := s.pending; got != c.want {
 			t.Errorf("beat without an echo, offer made %v after it: got %d, want %d", c.offered, got, c.want)
 		}
--- a/peer/joined.go
+++ b/peer/coalesce.go
@@ -24,43 +24,43 @@
 	// answer an offer, and short beside the time in which an offer must be answered.
 	holdLimit = 2 * time.Millisecond
 	// mostJoined is the largest buffer that is kept between two writes, in bytes.
-	mostJoined = 64 << 10
+	maxKeptBuffer = 64 << 10
 )
 
 // joined is a connection under yamux, which writes each header and its body by themselves. It writes the two together, and
 // the opening of a stream together with what is said on it first: of the twelve writes of an exchange, each a system call here
 // and a wake-up at the other side, six are left (TestWritesOfAnExchange).
-type joined struct {
+type coalescingConn struct {
 	net.Conn
 
 	mu sync.Mutex
 	// held is what waits for the next write, body how many bytes of a body are still to come before it may go.
-	held []byte
-	body int
+	buffered []byte
+	bodyLeft int
 	// timer flushes what is held for nothing; err is why a flush by it has failed.
 	timer *time.Timer
 	err   error
 }
 
-func newJoined(c net.Conn) *joined {
-	j := &joined{Conn: c}
-	j.timer = time.AfterFunc(time.Hour, j.expire)
+func newCoalescingConn(c net.Conn) *coalescingConn {
+	j := &coalescingConn{Conn: c}
+	j.timer = time.AfterFunc(time.Hour, j.flushOpening)
 	j.timer.Stop()
 	return j
 }
 
 // Write implements net.Conn; what it holds counts as written, as what a socket buffers does.
-func (j *joined) Write(b []byte) (int, error) {
+func (j *coalescingConn) Write(b []byte) (int, error) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if j.err != nil {
 		return 0, j.err
 	}
-	waits := j.waits(b)
-	if len(j.held) == 0 && !waits {
+	waits := j.shouldHold(b)
+	if len(j.buffered) == 0 && !waits {
 		return j.Conn.Write(b)
 	}
-	j.held = append(j.held, b...)
+	j.buffered = append(j.buffered, b...)
 	if waits {
 		return len(b), nil
 	}
@@ -72,9 +72,9 @@
 }
 
 // waits tells whether a piece is written together with the next one.
-func (j *joined) waits(b []byte) bool {
-	if j.body > 0 {
-		j.body -= len(b)
+func (j *coalescingConn) shouldHold(b []byte) bool {
+	if j.bodyLeft > 0 {
+		j.bodyLeft -= len(b)
 		return false
 	}
 	if len(b) != muxHeader {
@@ -83,7 +83,7 @@
 	length := binary.BigEndian.Uint32(b[muxLengthAt:])
 	switch b[muxTypeAt] {
 	case muxData:
-		j.body = int(length)
+		j.bodyLeft = int(length)
 		return length > 0
 	case muxWindowUpdate:
 		if binary.BigEndian.Uint16(b[muxFlagsAt:])&muxOpen == 0 {
@@ -96,26 +96,26 @@
 }
 
 // flush writes what is held; the lock is held.
-func (j *joined) flush() error {
-	_, err := j.Conn.Write(j.held)
-	j.held = j.held[:0]
-	if cap(j.held) > mostJoined {
-		j.held = nil
+func (j *coalescingConn) flush() error {
+	_, err := j.Conn.Write(j.buffered)
+	j.buffered = j.buffered[:0]
+	if cap(j.buffered) > maxKeptBuffer {
+		j.buffered = nil
 	}
 	return err
 }
 
 // expire writes an opening on which nothing was said yet; one with a body under way goes with that.
-func (j *joined) expire() {
+func (j *coalescingConn) flushOpening() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if j.body == 0 && len(j.held) > 0 {
+	if j.bodyLeft == 0 && len(j.buffered) > 0 {
 		j.err = j.flush()
 	}
 }
 
 // Close implements net.Conn.
-func (j *joined) Close() error {
+func (j *coalescingConn) Close() error {
 	j.timer.Stop()
 	return j.Conn.Close()
 }
--- a/peer/joined_test.go
+++ b/peer/coalesce_test.go
@@ -11,39 +11,39 @@
 )
 
 // writes counts the writes of a connection.
-type writes struct {
+type countedWrites struct {
 	net.Conn
 	count *atomic.Int64
 }
 
-func (w writes) Write(b []byte) (int, error) {
+func (w countedWrites) Write(b []byte) (int, error) {
 	w.count.Add(1)
 	return w.Conn.Write(b)
 }
 
 // oneExchange says on one stream what an exchange does, a word each way twice, and returns how many writes that took.
-func oneExchange(t *testing.T, wrap func(net.Conn) net.Conn) int64 {
+func writesOfExchange(t *testing.T, wrap func(net.Conn) net.Conn) int64 {
 	t.Helper()
 	var count atomic.Int64
 	a, b := tcpPair(t)
 	cfg := Config{}.mux()
-	client, err := yamux.Client(wrap(writes{a, &count}), cfg)
+	client, err := yamux.Client(wrap(countedWrites{a, &count}), cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
-	server, err := yamux.Server(wrap(writes{b, &count}), cfg)
+	server, err := yamux.Server(wrap(countedWrites{b, &count}), cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _, _ = client.Close(), server.Close() }()
 	served := make(chan error, 1)
-	go func() { served <- serveWords(server) }()
+	go func() { served <- echoTwice(server) }()
 	stream, err := client.OpenStream()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for range 2 {
-		if err := word(stream, stream); err != nil {
+		if err := roundTripOnce(stream, stream); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -56,7 +56,7 @@
 	return count.Load()
 }
 
-func serveWords(server *yamux.Session) error {
+func echoTwice(server *yamux.Session) error {
 	stream, err := server.AcceptStream()
 	if err != nil {
 		return err
@@ -74,7 +74,7 @@
 }
 
 // word says a word and waits for it to come back.
-func word(w io.Writer, r io.Reader) error {
+func roundTripOnce(w io.Writer, r io.Reader) error {
 	if _, err := w.Write([]byte("word")); err != nil {
 		return err
 	}
@@ -101,10 +101,10 @@
 
 // TestWritesOfAnExchange checks how many writes an exchange takes with and without joining them.
 func TestWritesOfAnExchange(t *testing.T) {
-	if got, want := oneExchange(t, func(c net.Conn) net.Conn { return c }), int64(12); got != want {
+	if got, want := writesOfExchange(t, func(c net.Conn) net.Conn { return c }), int64(12); got != want {
 		t.Errorf("writes without joining: got %d, want %d", got, want)
 	}
-	if got, most := oneExchange(t, func(c net.Conn) net.Conn { return newJoined(c) }), int64(6); got > most {
+	if got, most := writesOfExchange(t, func(c net.Conn) net.Conn { return newCoalescingConn(c) }), int64(6); got > most {
 		t.Errorf("writes with joining: got %d, want at most %d", got, most)
 	}
 }
@@ -112,11 +112,11 @@
 // TestOpeningIsNotHeldForLong checks that a stream on which nothing is said still opens at the other side.
 func TestOpeningIsNotHeldForLong(t *testing.T) {
 	a, b := tcpPair(t)
-	client, err := yamux.Client(newJoined(a), Config{}.mux())
+	client, err := yamux.Client(newCoalescingConn(a), Config{}.mux())
 	if err != nil {
 		t.Fatal(err)
 	}
-	server, err := yamux.Server(newJoined(b), Config{}.mux())
+	server, err := yamux.Server(newCoalescingConn(b), Config{}.mux())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/peer/control.go
+++ b/peer/control.go
@@ -24,16 +24,16 @@
 	go func() {
 		defer close(heard)
 		for {
-			_ = stream.SetReadDeadline(time.Now().Add(m.cfg.acceptorLimit()))
+			_ = stream.SetReadDeadline(time.Now().Add(m.cfg.acceptorReadTimeout()))
 			f, err := r.Read()
 			if err != nil {
 				return
 			}
-			m.heardBeat(hello.GetNode(), f.GetBeat())
+			m.handleBeat(hello.GetNode(), f.GetBeat())
 			heard <- f.GetBeat().GetSequence()
 		}
 	}()
-	defer func() { _ = stream.SetReadDeadline(time.Now()); drain(heard) }()
+	defer func() { _ = stream.SetReadDeadline(time.Now()); discardAll(heard) }()
 	var echo uint64
 	for {
 		select {
@@ -53,10 +53,10 @@
 }
 
 // acceptorPatience is after how many times the limit of an echo a link is closed on which nothing is heard.
-const acceptorPatience = 10
+const closeFactor = 10
 
 // drain empties a channel, so that whoever fills it comes to its end.
-func drain(c <-chan uint64) {
+func discardAll(c <-chan uint64) {
 	go func() {
 		for range c {
 			continue
@@ -65,7 +65,7 @@
 }
 
 // control is the dialer's side; it ends with the session.
-func (s *Session) control(stream net.Conn) {
+func (s *Session) runControl(stream net.Conn) {
 	defer s.close()
 	hello := &peerpb.Hello{Node: s.m.cfg.Node, Hall: s.m.cfg.Hall, Incarnation: s.m.cfg.Incarnation}
 	if err := WriteFrame(stream, &peerpb.Frame{Kind: &peerpb.Frame_Hello{Hello: hello}}); err != nil {
@@ -77,7 +77,7 @@
 	for seq := uint64(1); ; seq++ {
 		beat := s.m.beat()
 		beat.Sequence = seq
-		s.sent(seq)
+		s.recordBeat(seq)
 		if err := WriteFrame(stream, beatFrame(beat)); err != nil {
 			return
 		}
@@ -90,7 +90,7 @@
 // awaitBeat waits until the next beat after the one sent at a time is due; false when the link is done with.
 func (s *Session) awaitBeat(sent time.Time, tick *time.Timer) bool {
 	for {
-		wait := s.untilBeat(sent, time.Now())
+		wait := s.timeToNextBeat(sent, time.Now())
 		if wait <= 0 {
 			return true
 		}
@@ -101,7 +101,7 @@
 		case <-s.wake:
 		case <-tick.C:
 		}
-		if !s.judge(time.Now()) {
+		if !s.checkLink(time.Now()) {
 			return false
 		}
 	}
@@ -110,8 +110,8 @@
 // untilBeat is the time from now to the next beat. A link on which no request is under way beats slowly: an offer finds out at
 // once whether it is cut, and what its peer has to tell comes without being asked. On one that carries requests an answered
 // offer says what an echo would, so it beats only when none has been answered for a while.
-func (s *Session) untilBeat(sent, now time.Time) time.Duration {
-	idle := sent.Add(s.restFactor() * s.m.cfg.Heartbeat).Sub(now)
+func (s *Session) timeToNextBeat(sent, now time.Time) time.Duration {
+	idle := sent.Add(s.idleFactor() * s.m.cfg.Heartbeat).Sub(now)
 	switch {
 	case s.urgent.Swap(false):
 		return 0
@@ -120,7 +120,7 @@
 	case s.inFlight.Load() == 0:
 		return idle
 	}
-	last := max(sent.UnixNano(), s.busyAt.Load(), s.provenAt.Load())
+	last := max(sent.UnixNano(), s.busyAt.Load(), s.answeredAt.Load())
 	return min(idle, time.Unix(0, last).Add(s.m.cfg.Heartbeat).Sub(now))
 }
 
@@ -128,22 +128,22 @@
 // tell, restFactor the same for one that only carries requests: those find out for themselves, and a node of a large fleet has
 // dozens, each beat of which wakes both ends.
 const (
-	idleFactor = 8
-	restFactor = 2 * idleFactor
+	pinnedIdleFactor   = 8
+	unpinnedIdleFactor = 2 * pinnedIdleFactor
 )
 
 // restFactor is the factor of this link.
-func (s *Session) restFactor() time.Duration {
+func (s *Session) idleFactor() time.Duration {
 	if s.pinned.Load() {
-		return idleFactor
+		return pinnedIdleFactor
 	}
-	return restFactor
+	return unpinnedIdleFactor
 }
 
 // acceptorLimit is how long the acceptor of a link hears nothing before it closes it: long enough for a frozen peer to come back
 // to its link, and for some beats of an idle one to be late.
-func (c Config) acceptorLimit() time.Duration {
-	return max(acceptorPatience*c.EchoTimeout, 2*restFactor*c.Heartbeat)
+func (c Config) acceptorReadTimeout() time.Duration {
+	return max(closeFactor*c.EchoTimeout, 2*unpinnedIdleFactor*c.Heartbeat)
 }
 
 func (s *Session) listen(r FrameReader) {
@@ -157,14 +157,14 @@
 		if beat == nil {
 			return
 		}
-		s.echoed(beat.GetEcho())
-		s.leaving.Store(beat.GetLeaving())
-		s.m.heardBeat(s.address, beat)
+		s.recordEcho(beat.GetEcho())
+		s.draining.Store(beat.GetLeaving())
+		s.m.handleBeat(s.address, beat)
 	}
 }
 
 // sent notes when a beat was sent, as long as an earlier one is not waiting for its echo.
-func (s *Session) sent(seq uint64) {
+func (s *Session) recordBeat(seq uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.pending == 0 {
@@ -173,13 +173,13 @@
 	}
 }
 
-func (s *Session) echoed(seq uint64) {
+func (s *Session) recordEcho(seq uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.pending == 0 || seq < s.pending {
 		return
 	}
-	s.m.heard(s.address)
+	s.m.markReachable(s.address)
 	s.roundTrip.Store(int64(time.Since(s.pendingAt)))
 	s.pending = 0
 	if s.suspect.CompareAndSwap(true, false) {
@@ -188,7 +188,7 @@
 }
 
 // judge suspects a link without an echo and returns false when it should be closed.
-func (s *Session) judge(now time.Time) bool {
+func (s *Session) checkLink(now time.Time) bool {
 	s.mu.Lock()
 	waiting := time.Duration(0)
 	if s.pending != 0 {
@@ -196,13 +196,13 @@
 	}
 	s.mu.Unlock()
 	if waiting > s.m.cfg.EchoTimeout {
-		s.doubt("no echo for " + waiting.String())
+		s.markSuspect("no echo for " + waiting.String())
 	}
-	if waiting > acceptorPatience*s.m.cfg.EchoTimeout {
+	if waiting > closeFactor*s.m.cfg.EchoTimeout {
 		return false
 	}
 	if s.inFlight.Load() > 0 {
 		return true
 	}
-	return !s.leaving.Load() && (s.pinned.Load() || now.Sub(s.lastUse()) < s.m.cfg.IdleTimeout)
+	return !s.draining.Load() && (s.pinned.Load() || now.Sub(s.lastUse()) < s.m.cfg.IdleTimeout)
 }
--- a/peer/counted.go
+++ b/peer/counted.go
@@ -6,20 +6,20 @@
 )
 
 // counted counts the bytes of a connection.
-type counted struct {
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Uint64
 }
 
 // Read implements net.Conn.
-func (c counted) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.bytes.Add(uint64(n)) //nolint:gosec // counts are not negative
 	return n, err
 }
 
 // Write implements net.Conn.
-func (c counted) Write(b []byte) (int, error) {
+func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.bytes.Add(uint64(n)) //nolint:gosec // counts are not negative
 	return n, err
--- a/peer/credit_test.go
+++ b/peer/credit_test.go
@@ -37,7 +37,7 @@
 
 // slowSink is a caller that reads a piece for each word on next, and all once that is closed, and leaves when gone is.
 type slowSink struct {
-	kept
+	recordingSink
 	next, gone chan struct{}
 	read       atomic.Int64
 }
@@ -67,7 +67,7 @@
 	}()
 	for range 6 {
 		// One piece is in the caller's hands, and not read.
-		settle(t, func() bool { return a.sent.Load() >= sink.read.Load()+answerWindow-pieceBytes })
+		eventually(t, func() bool { return a.sent.Load() >= sink.read.Load()+answerWindow-pieceBytes })
 		if sent, read := a.sent.Load(), sink.read.Load(); sent > read+answerWindow {
 			t.Fatalf("sent: got %d with %d read, want at most %d more", sent, read, answerWindow)
 		}
@@ -90,7 +90,7 @@
 	go func() {
 		done <- s.Exchange(t.Context(), &peerpb.Dispatch{RequestId: "q", BudgetMicros: 60e6, Exchange: 7}, nil, sink)
 	}()
-	settle(t, func() bool { return a.sent.Load() >= answerWindow-pieceBytes })
+	eventually(t, func() bool { return a.sent.Load() >= answerWindow-pieceBytes })
 	close(sink.gone)
 	if err := <-a.ended; err == nil {
 		t.Error("answer: got all sent, want it ended")
@@ -99,7 +99,7 @@
 }
 
 // settle waits until something holds.
-func settle(t *testing.T, holds func() bool) {
+func eventually(t *testing.T, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
--- a/peer/dial.go
+++ b/peer/dial.go
@@ -66,7 +66,7 @@
 	d.session, d.err = s, err
 	close(d.done)
 	if err != nil {
-		m.lost(address)
+		m.markUnreachable(address)
 		return
 	}
 	events.LinkUp.Log(m.log).Str("peer", address).Send()
@@ -75,7 +75,7 @@
 		s.close()
 		return
 	}
-	s.control(stream)
+	s.runControl(stream)
 }
 
 func (m *Manager) connect(address string) (*Session, error) {
@@ -83,7 +83,7 @@
 	if err != nil {
 		return nil, fault.Wrap(err, fault.LinkDown, address, "peer cannot be reached")
 	}
-	mux, err := yamux.Client(newJoined(counted{c, &m.bytes}), m.cfg.mux())
+	mux, err := yamux.Client(newCoalescingConn(countingConn{c, &m.bytes}), m.cfg.mux())
 	if err != nil {
 		_ = c.Close()
 		return nil, fault.Wrap(err, fault.LinkDown, address, "session cannot be opened")
@@ -119,7 +119,7 @@
 }
 
 // forget takes a link that has ended out; its suspicion stays with the peer.
-func (m *Manager) forget(s *Session) {
+func (m *Manager) removeSession(s *Session) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if s.suspect.Load() {
--- a/peer/exchange.go
+++ b/peer/exchange.go
@@ -73,7 +73,7 @@
 		return end
 	}
 	defer x.close()
-	if x.handed && !d.GetClaim().GetClaimOnly() && !AllowsDispatch(sink) {
+	if x.dispatched && !d.GetClaim().GetClaimOnly() && !AllowsDispatch(sink) {
 		return NotRun(fault.Stopping, 0)
 	}
 	first := d
@@ -82,12 +82,12 @@
 		first = offerOf(d)
 	}
 	if err := WriteFrame(x.stream, &peerpb.Frame{Kind: &peerpb.Frame_Dispatch{Dispatch: first}}); err != nil {
-		return x.broken()
+		return x.brokenEnd()
 	}
-	if x.handed {
+	if x.dispatched {
 		x.sendBody(d, body)
 	}
-	return x.receive(sink, func() error { return x.handOver(d, body, sink) })
+	return x.receive(sink, func() error { return x.dispatch(d, body, sink) })
 }
 
 // offerOf is a dispatch without what only the endpoint needs: most offers to a busy fleet are turned away, and the links
@@ -136,14 +136,14 @@
 		return Unknown(fault.LinkLost)
 	}
 	defer x.close()
-	x.handed = true
+	x.dispatched = true
 	if via != "" {
 		if WriteFrame(x.stream, &peerpb.Frame{Kind: &peerpb.Frame_Relay{Relay: &peerpb.Relay{Address: via}}}) != nil {
-			return x.broken()
+			return x.brokenEnd()
 		}
 	}
 	if WriteFrame(x.stream, &peerpb.Frame{Kind: &peerpb.Frame_Fetch{Fetch: &peerpb.Fetch{Exchange: exchange}}}) != nil {
-		return x.broken()
+		return x.brokenEnd()
 	}
 	return x.receive(sink, nil)
 }
--- a/peer/fields_test.go
+++ b/peer/fields_test.go
@@ -10,7 +10,7 @@
 )
 
 // full returns a dispatch in which every field but the claim, which no offer has, is set.
-func full(t *testing.T) *peerpb.Dispatch {
+func filledDispatch(t *testing.T) *peerpb.Dispatch {
 	t.Helper()
 	d := &peerpb.Dispatch{Headers: []*peerpb.Header{{Name: "a", Value: "b"}}}
 	m := d.ProtoReflect()
@@ -43,7 +43,7 @@
 // TestHandOverCompletesTheOffer checks that an offer and its hand-over together say all that the request's ingress said: a
 // field that neither carries would hold at the ingress's own host only.
 func TestHandOverCompletesTheOffer(t *testing.T) {
-	want := full(t)
+	want := filledDispatch(t)
 	got := offerOf(want)
 	complete(got, goOf(want))
 	if !proto.Equal(got, want) {
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -39,12 +39,12 @@
 	if err != nil {
 		return err
 	}
-	keep(p, b)
+	recycle(p, b)
 	return writeAll(w, b)
 }
 
 // keep leaves a buffer that has grown a little in the pool; a large one goes to the collector.
-func keep(p *[]byte, b []byte) {
+func recycle(p *[]byte, b []byte) {
 	if cap(b) <= DataChunk+maxPrefix+readBuffer {
 		*p = b
 	}
--- a/peer/link_test.go
+++ b/peer/link_test.go
@@ -22,9 +22,9 @@
 )
 
 // echo answers every dispatch with its own request id and body.
-type echo struct{}
+type echoHandler struct{}
 
-func (echo) Serve(_ context.Context, d *peerpb.Dispatch, body io.Reader, sink Sink) *peerpb.End {
+func (echoHandler) Serve(_ context.Context, d *peerpb.Dispatch, body io.Reader, sink Sink) *peerpb.End {
 	_ = sink.Head(&peerpb.Head{Status: 200}, true)
 	_ = sink.Data([]byte(d.GetRequestId()), true)
 	if d.GetBodyLength() != 0 {
@@ -36,25 +36,27 @@
 	return &peerpb.End{Outcome: peerpb.Outcome_OUTCOME_RAN, Complete: true}
 }
 
-func (echo) Fetch(context.Context, uint64, Sink) *peerpb.End { return Unknown("unknown_exchange") }
+func (echoHandler) Fetch(context.Context, uint64, Sink) *peerpb.End {
+	return Unknown("unknown_exchange")
+}
 
-func (echo) Settle(*peerpb.Settle) {}
+func (echoHandler) Settle(*peerpb.Settle) {}
 
-func (echo) HandleCrashReport(*peerpb.Ended) {}
+func (echoHandler) HandleCrashReport(*peerpb.Ended) {}
 
 // Lend implements Handler.
-func (echo) GrantAllotment(_ string, want int) (int, time.Duration) { return want - 1, 0 }
+func (echoHandler) GrantAllotment(_ string, want int) (int, time.Duration) { return want - 1, 0 }
 
-func (echo) Confirm(context.Context) (uint64, bool) { return 7, true }
+func (echoHandler) Confirm(context.Context) (uint64, bool) { return 7, true }
 
-func (echo) Deltas(table.Revisions, bool) []*peerpb.Delta { return []*peerpb.Delta{{To: 7}} }
+func (echoHandler) Deltas(table.Revisions, bool) []*peerpb.Delta { return []*peerpb.Delta{{To: 7}} }
 
-type kept struct{ body []byte }
+type recordingSink struct{ body []byte }
 
-func (*kept) ReportOverdue()                {}
-func (*kept) Due(time.Duration)             {}
-func (*kept) Head(*peerpb.Head, bool) error { return nil }
-func (k *kept) Data(b []byte, _ bool) error { k.body = append(k.body, b...); return nil }
+func (*recordingSink) ReportOverdue()                {}
+func (*recordingSink) Due(time.Duration)             {}
+func (*recordingSink) Head(*peerpb.Head, bool) error { return nil }
+func (k *recordingSink) Data(b []byte, _ bool) error { k.body = append(k.body, b...); return nil }
 
 func startManager(t *testing.T, config *tls.Config) (*Manager, string) {
 	t.Helper()
@@ -63,7 +65,7 @@
 		Node: "n", Listen: "127.0.0.1:0", Heartbeat: 10 * time.Millisecond, EchoTimeout: 100 * time.Millisecond,
 		IdleTimeout: time.Minute, MaxConns: 10, TLS: config,
 	}, &log)
-	m.Handle(echo{})
+	m.Handle(echoHandler{})
 	if err := m.Start(t.Context()); err != nil {
 		t.Fatal(err)
 	}
@@ -79,7 +81,7 @@
 	if err != nil {
 		return NotRun("link_down", 0), ""
 	}
-	k := &kept{}
+	k := &recordingSink{}
 	end := s.Exchange(ctx, &peerpb.Dispatch{RequestId: id, BudgetMicros: 1e6}, nil, k)
 	return end, string(k.body)
 }
@@ -165,7 +167,7 @@
 				ctx, cancel := context.WithTimeout(context.Background(), time.Duration(i)*10*time.Microsecond)
 				defer cancel()
 				if s, err := m.Session(ctx, address); err == nil {
-					_ = s.Exchange(ctx, &peerpb.Dispatch{RequestId: "given up", BudgetMicros: 1e6}, nil, &kept{})
+					_ = s.Exchange(ctx, &peerpb.Dispatch{RequestId: "given up", BudgetMicros: 1e6}, nil, &recordingSink{})
 				}
 				done <- ""
 				return
@@ -195,7 +197,7 @@
 	body := bytes.Repeat([]byte("0123456789abcdef"), 3*MaxFrame/16)
 	for _, length := range []int64{int64(len(body)), -1} {
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
-		k := &kept{}
+		k := &recordingSink{}
 		d := &peerpb.Dispatch{RequestId: "id:", BudgetMicros: 1e7, BodyLength: length}
 		end := s.Exchange(ctx, d, bytes.NewReader(body), k)
 		cancel()
--- a/peer/manager.go
+++ b/peer/manager.go
@@ -53,13 +53,13 @@
 	streamWindow = 256 << 10
 	// streamOpenLimit is long: the heartbeat judges a silent peer, and this must not cut what a frozen one may still
 	// answer.
-	streamOpenLimit = 30 * time.Second
+	streamOpenTimeout = 30 * time.Second
 	// leaveBeats is how many heartbeats peers have to read their last answers and close, mostLeave the longest such time:
 	// an answer takes a few round trips at most.
-	leaveBeats = 4
-	mostLeave  = 250 * time.Millisecond
+	drainBeats   = 4
+	maxDrainWait = 250 * time.Millisecond
 	// closeLook is the time between two looks whether they have.
-	closeLook = time.Millisecond
+	closePollInterval = time.Millisecond
 )
 
 func (c Config) mux() *yamux.Config {
@@ -67,7 +67,7 @@
 	y.EnableKeepAlive = false
 	y.AcceptBacklog = acceptBacklog
 	y.ConnectionWriteTimeout = writeTimeout
-	y.StreamOpenTimeout = streamOpenLimit
+	y.StreamOpenTimeout = streamOpenTimeout
 	y.MaxStreamWindowSize = streamWindow
 	y.LogOutput = io.Discard
 	return y
@@ -81,12 +81,12 @@
 	listener net.Listener
 	// revisions is what this node has in force.
 	revisions atomic.Pointer[table.Revisions]
-	leaving   atomic.Bool
+	draining  atomic.Bool
 	closed    atomic.Bool
 	// inbound counts the connections that peers have opened, working what they ask, bytes what links carry.
-	inbound atomic.Int64
-	working inflight.Counter
-	bytes   atomic.Uint64
+	inboundConns atomic.Int64
+	requests     inflight.Counter
+	bytes        atomic.Uint64
 
 	mu sync.Mutex
 	// sessions are the dialed links by the peer's address, dialing those being opened.
@@ -101,7 +101,7 @@
 	// subscribers are the connected peers that hear of news at once, with the hall of each.
 	subscribers map[chan struct{}]string
 
-	onBeat func(peer string, revisions table.Revisions)
+	onNewRevisions func(peer string, revisions table.Revisions)
 }
 
 // dial is a link that is being opened; session and err hold once done is closed.
@@ -116,20 +116,20 @@
 
 // WithBeatHook calls f whenever a peer shows a later revision of something; f must not block.
 func WithRevisionHook(f func(peer string, revisions table.Revisions)) Option {
-	return func(m *Manager) { m.onBeat = f }
+	return func(m *Manager) { m.onNewRevisions = f }
 }
 
 // NewManager returns a manager without links.
 func NewManager(cfg Config, log *zerolog.Logger, opts ...Option) *Manager {
 	m := &Manager{
 		cfg: cfg, log: log,
-		sessions:    make(map[string]*Session),
-		dialing:     make(map[string]*dial),
-		suspects:    make(map[string]bool),
-		unreachable: make(map[string]*outage),
-		accepted:    make(map[*yamux.Session]net.Conn),
-		subscribers: make(map[chan struct{}]string),
-		onBeat:      func(string, table.Revisions) {},
+		sessions:       make(map[string]*Session),
+		dialing:        make(map[string]*dial),
+		suspects:       make(map[string]bool),
+		unreachable:    make(map[string]*outage),
+		accepted:       make(map[*yamux.Session]net.Conn),
+		subscribers:    make(map[chan struct{}]string),
+		onNewRevisions: func(string, table.Revisions) {},
 	}
 	m.revisions.Store(new(table.Revisions))
 	for _, opt := range opts {
@@ -172,11 +172,11 @@
 	if m.listener != nil {
 		_ = m.listener.Close()
 	}
-	err := m.working.Wait(ctx, "peers")
+	err := m.requests.Wait(ctx, "peers")
 	for _, s := range m.dialed() {
 		s.close()
 	}
-	m.waitClosed(ctx)
+	m.awaitPeersClosed(ctx)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for mux, c := range m.accepted {
@@ -193,8 +193,8 @@
 
 // waitClosed gives the peers, which know that this node leaves, the time of a few beats to read their last answers
 // and close: a link closed under unread bytes would lose the answers on their way.
-func (m *Manager) waitClosed(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, min(leaveBeats*m.cfg.Heartbeat, mostLeave))
+func (m *Manager) awaitPeersClosed(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, min(drainBeats*m.cfg.Heartbeat, maxDrainWait))
 	defer cancel()
 	m.awaitNoneAccepted(ctx)
 }
@@ -208,7 +208,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(closeLook):
+		case <-time.After(closePollInterval):
 		}
 	}
 }
--- a/peer/news.go
+++ b/peer/news.go
@@ -11,20 +11,20 @@
 
 // Leave tells every peer that this node takes nothing new.
 func (m *Manager) AnnounceDraining() {
-	m.leaving.Store(true)
-	m.tell(func(string) bool { return true })
+	m.draining.Store(true)
+	m.notifyPeers(func(string) bool { return true })
 }
 
 // Announce tells the connected peers of this hall the revisions in force; those of other halls, the links to which are
 // dear, hear of them by the next heartbeat.
 func (m *Manager) Announce(revisions table.Revisions) {
 	if old := m.revisions.Swap(&revisions); *old != revisions {
-		m.tell(func(hall string) bool { return hall == m.cfg.Hall })
+		m.notifyPeers(func(hall string) bool { return hall == m.cfg.Hall })
 	}
 }
 
 // tell has a beat sent to the connected peers of some halls.
-func (m *Manager) tell(which func(hall string) bool) {
+func (m *Manager) notifyPeers(which func(hall string) bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for c, hall := range m.subscribers {
@@ -63,27 +63,27 @@
 	}
 	for _, s := range sessions {
 		go func() {
-			ctx, cancel := context.WithTimeout(context.Background(), tellTimeout)
+			ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 			defer cancel()
 			// One that does not hear it hears of the row.
-			_, _ = s.ask(ctx, &peerpb.Frame{Kind: &peerpb.Frame_Ended{Ended: word}})
+			_, _ = s.call(ctx, &peerpb.Frame{Kind: &peerpb.Frame_Ended{Ended: word}})
 		}()
 	}
 }
 
 // tellTimeout bounds the telling of one peer: several round trips between regions.
-const tellTimeout = 500 * time.Millisecond
+const reportTimeout = 500 * time.Millisecond
 
 // heardBeat passes on that a peer shows a later revision of something.
-func (m *Manager) heardBeat(peer string, b *peerpb.Beat) {
+func (m *Manager) handleBeat(peer string, b *peerpb.Beat) {
 	if r := revisionsOf(b.GetRevisions()); m.revisions.Load().Behind(r) {
-		m.onBeat(peer, r)
+		m.onNewRevisions(peer, r)
 	}
 }
 
 // beat returns a beat that shows what this node holds.
 func (m *Manager) beat() *peerpb.Beat {
-	return &peerpb.Beat{Revisions: revisionsToWire(*m.revisions.Load()), Leaving: m.leaving.Load()}
+	return &peerpb.Beat{Revisions: revisionsToWire(*m.revisions.Load()), Leaving: m.draining.Load()}
 }
 
 func revisionsOf(r *peerpb.Revisions) table.Revisions {
--- a/peer/offer_test.go
+++ b/peer/offer_test.go
@@ -127,7 +127,7 @@
 func offer(t *testing.T, ctx context.Context, s *Session, wait bool) *peerpb.End {
 	t.Helper()
 	d := &peerpb.Dispatch{RequestId: "q", BudgetMicros: 5e6, Exchange: 7, Wait: wait}
-	return s.Exchange(ctx, d, nil, &kept{})
+	return s.Exchange(ctx, d, nil, &recordingSink{})
 }
 
 // TestOfferIsTaken checks that a request runs once its ingress has taken the slot.
@@ -205,14 +205,14 @@
 		},
 	}
 	for name, fetch := range ways {
-		k := &kept{}
+		k := &recordingSink{}
 		if got, want := fetch(7, k).GetOutcome(), peerpb.Outcome_OUTCOME_RAN; got != want {
 			t.Errorf("%s: outcome: got %v, want %v", name, got, want)
 		}
 		if got, want := string(k.body), "kept"; got != want {
 			t.Errorf("%s: body: got %q, want %q", name, got, want)
 		}
-		if got, want := fetch(8, &kept{}).GetOutcome(), peerpb.Outcome_OUTCOME_UNKNOWN; got != want {
+		if got, want := fetch(8, &recordingSink{}).GetOutcome(), peerpb.Outcome_OUTCOME_UNKNOWN; got != want {
 			t.Errorf("%s: of another exchange: got %v, want %v", name, got, want)
 		}
 	}
--- a/peer/pull_test.go
+++ b/peer/pull_test.go
@@ -10,13 +10,13 @@
 )
 
 // asked notes by which revisions it is asked for changes.
-type asked struct {
-	echo
+type pullRecorder struct {
+	echoHandler
 	from table.Revisions
 }
 
 // Deltas implements Handler.
-func (a *asked) Deltas(from table.Revisions, _ bool) []*peerpb.Delta {
+func (a *pullRecorder) Deltas(from table.Revisions, _ bool) []*peerpb.Delta {
 	a.from = from
 	return nil
 }
@@ -33,7 +33,7 @@
 		{&peerpb.Pull{Fatal: true, Planes: uint32(table.PlaneCount)}, table.PlaneCount},
 		{&peerpb.Pull{Fatal: true, Planes: 99}, table.PlaneCount},
 	} {
-		if got := knownPlanes(c.pull); got != c.want {
+		if got := knownSources(c.pull); got != c.want {
 			t.Errorf("parts known to %v: got %d, want %d", c.pull, got, c.want)
 		}
 	}
@@ -45,7 +45,7 @@
 	for _, knows := range []bool{true, false} {
 		here, there := net.Pipe()
 		go func() { _, _ = io.Copy(io.Discard, there) }()
-		a := &asked{}
+		a := &pullRecorder{}
 		m := &Manager{handler: a}
 		m.servePull(here, &peerpb.Pull{From: &peerpb.Revisions{Rows: 3, Hosts: 5}, Fatal: knows})
 		_ = here.Close()
--- a/peer/reach.go
+++ b/peer/reach.go
@@ -9,20 +9,20 @@
 type outage struct {
 	since time.Time
 	// askedAt is when somebody last wanted to send to the peer.
-	askedAt time.Time
+	wantedAt time.Time
 	// next is when it is tried again, pause the time from then to the next time.
-	next  time.Time
-	pause time.Duration
+	retryAt  time.Time
+	interval time.Duration
 }
 
 const (
 	// redialFirst is how soon a peer that cannot be reached is tried again, redialMost what that doubles up to. A node that is
 	// restarted is back within a second, and without trying again it was lost to every node of a large fleet that had met it
 	// meanwhile.
-	redialFirst = 250 * time.Millisecond
-	redialMost  = 4 * time.Second
+	initialRedialDelay = 250 * time.Millisecond
+	maxRedialDelay     = 4 * time.Second
 	// redialFor is how long after somebody wanted to send to it a peer is tried.
-	redialFor = 2 * time.Second
+	redialWindow = 2 * time.Second
 )
 
 // Unreachable returns since when a peer cannot be reached, the zero time for one that can or was not tried.
@@ -36,22 +36,22 @@
 }
 
 // heard notes that a peer can be reached, lost that it cannot.
-func (m *Manager) heard(address string) {
+func (m *Manager) markReachable(address string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.unreachable, address)
 }
 
-func (m *Manager) lost(address string) {
+func (m *Manager) markUnreachable(address string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
 	if m.unreachable[address] == nil {
-		m.unreachable[address] = &outage{since: now, askedAt: now, next: now.Add(redialFirst), pause: 2 * redialFirst}
+		m.unreachable[address] = &outage{since: now, wantedAt: now, retryAt: now.Add(initialRedialDelay), interval: 2 * initialRedialDelay}
 	}
 	if !m.redialing {
 		m.redialing = true
-		time.AfterFunc(redialFirst, m.redial)
+		time.AfterFunc(initialRedialDelay, m.redial)
 	}
 }
 
@@ -74,19 +74,19 @@
 	var due []string
 	wanted := false
 	for address, o := range m.unreachable {
-		if now.Sub(o.askedAt) > redialFor || m.sessions[address] != nil {
+		if now.Sub(o.wantedAt) > redialWindow || m.sessions[address] != nil {
 			continue
 		}
 		wanted = true
-		if now.Before(o.next) || m.dialing[address] != nil {
+		if now.Before(o.retryAt) || m.dialing[address] != nil {
 			continue
 		}
-		o.next, o.pause = now.Add(o.pause), min(2*o.pause, redialMost)
+		o.retryAt, o.interval = now.Add(o.interval), min(2*o.interval, maxRedialDelay)
 		due = append(due, address)
 	}
 	m.redialing = wanted && !m.closed.Load()
 	if m.redialing {
-		time.AfterFunc(redialFirst, m.redial)
+		time.AfterFunc(initialRedialDelay, m.redial)
 	}
 	return due
 }
@@ -105,9 +105,9 @@
 	defer m.mu.Unlock()
 	s := m.sessions[address]
 	if s == nil {
-		return !m.missed(address)
+		return !m.checkUnreachable(address)
 	}
-	return !s.suspect.Load() && !s.leaving.Load()
+	return !s.suspect.Load() && !s.draining.Load()
 }
 
 // Reached tells whether a link to a peer stands that is not under suspicion.
@@ -136,15 +136,15 @@
 }
 
 // missed tells whether a peer without a link cannot be reached, and has it tried again; the lock is held.
-func (m *Manager) missed(address string) bool {
+func (m *Manager) checkUnreachable(address string) bool {
 	o := m.unreachable[address]
 	if o == nil {
 		return false
 	}
-	o.askedAt = time.Now()
+	o.wantedAt = time.Now()
 	if !m.redialing && !m.closed.Load() {
 		m.redialing = true
-		time.AfterFunc(redialFirst, m.redial)
+		time.AfterFunc(initialRedialDelay, m.redial)
 	}
 	return true
 }
--- a/peer/reach_test.go
+++ b/peer/reach_test.go
@@ -32,7 +32,7 @@
 		Node: "back", Listen: address, Heartbeat: 10 * time.Millisecond, EchoTimeout: 100 * time.Millisecond,
 		IdleTimeout: time.Minute, MaxConns: 10,
 	}, &log)
-	back.Handle(echo{})
+	back.Handle(echoHandler{})
 	if err := back.Start(t.Context()); err != nil {
 		t.Fatal(err)
 	}
@@ -50,12 +50,12 @@
 	log := zerolog.Nop()
 	m := NewManager(Config{Node: "n"}, &log)
 	start := time.Unix(1000, 0)
-	m.unreachable["p"] = &outage{since: start, askedAt: start, next: start.Add(redialFirst), pause: 2 * redialFirst}
+	m.unreachable["p"] = &outage{since: start, wantedAt: start, retryAt: start.Add(initialRedialDelay), interval: 2 * initialRedialDelay}
 	m.closed.Store(true)
 	tries := 0
-	for at := start; at.Before(start.Add(20 * time.Second)); at = at.Add(redialFirst) {
+	for at := start; at.Before(start.Add(20 * time.Second)); at = at.Add(initialRedialDelay) {
 		if at.Before(start.Add(10 * time.Second)) {
-			m.unreachable["p"].askedAt = at
+			m.unreachable["p"].wantedAt = at
 		}
 		tries += len(m.dueRedials(at))
 	}
--- a/peer/sending.go
+++ b/peer/sending.go
@@ -14,21 +14,21 @@
 const linkRetryAfter = 500 * time.Millisecond
 
 // sending is the ingress's side of one exchange.
-type sending struct {
+type ingressExchange struct {
 	ctx    context.Context //nolint:containedctx // one exchange's life
 	s      *Session
 	stream net.Conn
 	stop   func() bool
 	// at is when the exchange began.
-	at time.Time
+	startedAt time.Time
 	// offered is set for an exchange that waits for a grant, handed once the request may run.
-	offered bool
-	handed  bool
+	offered    bool
+	dispatched bool
 	// withheld is set when the sink did not let the request be handed over.
 	withheld bool
 	// credits is set where the peer waits to be told what the caller has read; read counts the bytes of which it was not told yet.
-	credits bool
-	read    int
+	flowControl bool
+	uncredited  int
 }
 
 const (
@@ -40,13 +40,13 @@
 )
 
 // passOn hands a piece of the answer to the caller, and lets the peer send as much more.
-func (x *sending) passOn(sink Sink, b []byte) error {
+func (x *ingressExchange) forwardData(sink Sink, b []byte) error {
 	if err := sink.Data(b, false); err != nil {
 		return err
 	}
-	if x.read += len(b); x.credits && x.read >= creditStep {
-		credit := &peerpb.Credit{Bytes: uint32(x.read)} //nolint:gosec // at most the window and a piece
-		x.read = 0
+	if x.uncredited += len(b); x.flowControl && x.uncredited >= creditStep {
+		credit := &peerpb.Credit{Bytes: uint32(x.uncredited)} //nolint:gosec // at most the window and a piece
+		x.uncredited = 0
 		// Where the word cannot be written the answer breaks off by itself.
 		_ = WriteFrame(x.stream, &peerpb.Frame{Kind: &peerpb.Frame_Credit{Credit: credit}})
 	}
@@ -54,54 +54,54 @@
 }
 
 // open opens a stream; an offer must be answered soon, if only by a word that it waits.
-func (s *Session) open(ctx context.Context, offered bool) (*sending, *peerpb.End) {
+func (s *Session) open(ctx context.Context, offered bool) (*ingressExchange, *peerpb.End) {
 	stream, err := s.mux.OpenStream()
 	if err != nil {
 		return nil, NotRun(fault.LinkDown, linkRetryAfter)
 	}
 	s.begin(stream, offered)
-	x := &sending{ctx: ctx, s: s, stream: stream, at: time.Now(), offered: offered, handed: !offered}
+	x := &ingressExchange{ctx: ctx, s: s, stream: stream, startedAt: time.Now(), offered: offered, dispatched: !offered}
 	if offered {
-		_ = stream.SetReadDeadline(time.Now().Add(s.offerLimit()))
+		_ = stream.SetReadDeadline(time.Now().Add(s.offerTimeout()))
 	}
 	x.stop = context.AfterFunc(ctx, func() { _ = stream.SetReadDeadline(time.Now()) })
 	return x, nil
 }
 
 // close ends the exchange on this side; a caller that gave up is told to the egress.
-func (x *sending) close() {
+func (x *ingressExchange) close() {
 	x.stop()
 	x.s.finish(x.stream)
 	if x.ctx.Err() != nil && x.offered {
 		// The caller went away, or its time ran out: the egress need not go on. That this may not arrive harms nothing.
-		_ = x.stream.SetWriteDeadline(time.Now().Add(x.s.offerLimit()))
+		_ = x.stream.SetWriteDeadline(time.Now().Add(x.s.offerTimeout()))
 		_ = WriteFrame(x.stream, &peerpb.Frame{Kind: &peerpb.Frame_Cancel{Cancel: &peerpb.Cancel{}}})
 	}
 	abandon(x.stream)
 }
 
 // broken is how the exchange ends when the stream says no more.
-func (x *sending) broken() *peerpb.End {
+func (x *ingressExchange) brokenEnd() *peerpb.End {
 	switch {
 	case x.withheld:
 		return NotRun(fault.Stopping, 0)
-	case !x.handed && x.ctx.Err() != nil:
+	case !x.dispatched && x.ctx.Err() != nil:
 		return NotRun(ctxCode(x.ctx), 0)
-	case !x.handed:
+	case !x.dispatched:
 		return NotRun(fault.LinkDown, linkRetryAfter)
 	}
 	return Unknown(lostCode(x.ctx))
 }
 
 // handOver gives the word that the request may run.
-func (x *sending) handOver(d *peerpb.Dispatch, body io.Reader, sink Sink) error {
+func (x *ingressExchange) dispatch(d *peerpb.Dispatch, body io.Reader, sink Sink) error {
 	if x.ctx.Err() != nil {
 		return fault.Wrap(x.ctx.Err(), ctxCode(x.ctx), "exchange", "caller went away")
 	}
 	if x.withheld = !AllowsDispatch(sink); x.withheld {
 		return fault.New(fault.Stopping, "exchange", "the node is stopping")
 	}
-	x.handed = true
+	x.dispatched = true
 	if err := WriteFrame(x.stream, &peerpb.Frame{Kind: &peerpb.Frame_Go{Go: goOf(d)}}); err != nil {
 		return err
 	}
@@ -110,7 +110,7 @@
 }
 
 // sendBody sends a body that did not go with the hand-over, beside the reading of the answer.
-func (x *sending) sendBody(d *peerpb.Dispatch, body io.Reader) {
+func (x *ingressExchange) sendBody(d *peerpb.Dispatch, body io.Reader) {
 	if d.GetBodyLength() == 0 {
 		return
 	}
@@ -122,26 +122,26 @@
 }
 
 // receive reads frames until the exchange ends.
-func (x *sending) receive(sink Sink, handOver func() error) *peerpb.End {
+func (x *ingressExchange) receive(sink Sink, handOver func() error) *peerpb.End {
 	r := NewFrameReader(x.stream)
 	for first := true; ; first = false {
 		f, err := r.Read()
 		if err != nil {
-			x.s.unanswered(x)
-			return x.broken()
+			x.s.suspectUnanswered(x)
+			return x.brokenEnd()
 		}
-		x.heard(first)
+		x.observeFrame(first)
 		switch k := f.GetKind().(type) {
 		case *peerpb.Frame_Ack:
 		case *peerpb.Frame_Grant:
-			if handOver == nil || x.handed {
+			if handOver == nil || x.dispatched {
 				return Unknown(fault.Protocol)
 			}
-			x.credits = k.Grant.GetCredits()
+			x.flowControl = k.Grant.GetCredits()
 			if handOver() != nil {
-				return x.broken()
+				return x.brokenEnd()
 			}
-			tellDue(sink, k.Grant)
+			reportDue(sink, k.Grant)
 		case *peerpb.Frame_Late:
 			sink.ReportOverdue()
 		case *peerpb.Frame_Due:
@@ -149,46 +149,46 @@
 		case *peerpb.Frame_Head:
 			err = sink.Head(k.Head, false)
 		case *peerpb.Frame_Data:
-			err = x.passOn(sink, k.Data.GetBytes())
+			err = x.forwardData(sink, k.Data.GetBytes())
 		case *peerpb.Frame_End:
 			return k.End
 		default:
 			return Unknown(fault.Protocol)
 		}
 		if err != nil {
-			return x.stopped()
+			return x.sinkFailedEnd()
 		}
 	}
 }
 
 // tellDue passes on when an answer is due, if the grant says so.
-func tellDue(sink Sink, g *peerpb.Grant) {
+func reportDue(sink Sink, g *peerpb.Grant) {
 	if due := g.GetDueMicros(); due > 0 {
 		sink.Due(time.Duration(due) * time.Microsecond)
 	}
 }
 
 // stopped is how the exchange ends when this side cannot go on with it.
-func (x *sending) stopped() *peerpb.End {
-	if !x.handed {
+func (x *ingressExchange) sinkFailedEnd() *peerpb.End {
+	if !x.dispatched {
 		return NotRun(fault.Canceled, 0)
 	}
 	return Unknown(fault.Canceled)
 }
 
 // heard takes a frame as evidence about the link, the first one of an offer in both directions.
-func (x *sending) heard(first bool) {
+func (x *ingressExchange) observeFrame(first bool) {
 	if !x.offered {
 		return
 	}
 	if first {
-		x.s.proved(x.at)
+		x.s.recordAnsweredOffer(x.startedAt)
 	}
-	x.patient()
+	x.clearReadDeadline()
 }
 
 // patient takes the limit of the first frame away; the link's heartbeat judges from here on.
-func (x *sending) patient() {
+func (x *ingressExchange) clearReadDeadline() {
 	_ = x.stream.SetReadDeadline(time.Time{})
 	if x.ctx.Err() != nil {
 		_ = x.stream.SetReadDeadline(time.Now())
--- a/peer/serve.go
+++ b/peer/serve.go
@@ -38,11 +38,11 @@
 	firstFrameTimeout = 5 * time.Second
 	// grantLife is how long a slot is held for an ingress that does not answer: several round trips between regions
 	// (20 ms one way), and little beside the work of a slot (50 to 300 ms).
-	grantLife = 150 * time.Millisecond
+	grantTimeout = 150 * time.Millisecond
 	// mostBorrowed bounds what one question may ask for: a customer's requests at one node within a term, with room.
-	mostBorrowed = 10000
+	maxAllotmentRequest = 10000
 	// fetchLimit bounds how long a peer may wait here for an answer.
-	fetchLimit = 30 * time.Second
+	fetchTimeout = 30 * time.Second
 )
 
 func (m *Manager) serveStream(stream net.Conn, remote string) {
@@ -51,7 +51,7 @@
 	_ = stream.SetReadDeadline(time.Now().Add(firstFrameTimeout))
 	f, err := r.Read()
 	if err != nil {
-		m.garbled(remote, err)
+		m.logProtocolError(remote, err)
 		return
 	}
 	_ = stream.SetReadDeadline(time.Time{})
@@ -59,13 +59,13 @@
 	case *peerpb.Frame_Hello:
 		m.serveControl(stream, r, k.Hello)
 	default:
-		m.working.Add()
-		defer m.working.Done()
-		m.serveWork(stream, r, f, remote)
+		m.requests.Add()
+		defer m.requests.Done()
+		m.serveRequest(stream, r, f, remote)
 	}
 }
 
-func (m *Manager) serveWork(stream net.Conn, r FrameReader, f *peerpb.Frame, remote string) {
+func (m *Manager) serveRequest(stream net.Conn, r FrameReader, f *peerpb.Frame, remote string) {
 	switch k := f.GetKind().(type) {
 	case *peerpb.Frame_Dispatch:
 		m.serveDispatch(stream, r, k.Dispatch)
@@ -78,7 +78,7 @@
 	case *peerpb.Frame_Confirm:
 		m.serveConfirm(stream)
 	case *peerpb.Frame_Borrow:
-		granted, wait := m.handler.GrantAllotment(k.Borrow.GetCustomer(), int(min(k.Borrow.GetWant(), mostBorrowed)))
+		granted, wait := m.handler.GrantAllotment(k.Borrow.GetCustomer(), int(min(k.Borrow.GetWant(), maxAllotmentRequest)))
 		lent := &peerpb.Lent{Granted: uint32(granted), WaitMicros: wait.Microseconds()} //nolint:gosec // bounded above
 		_ = WriteFrame(stream, &peerpb.Frame{Kind: &peerpb.Frame_Lent{Lent: lent}})
 	case *peerpb.Frame_Ended:
@@ -88,22 +88,22 @@
 		m.handler.Settle(k.Settle)
 		_ = WriteFrame(stream, &peerpb.Frame{Kind: &peerpb.Frame_Ack{Ack: &peerpb.Ack{}}})
 	default:
-		m.garbled(remote, fault.New(fault.Protocol, "stream", "unexpected first message"))
+		m.logProtocolError(remote, fault.New(fault.Protocol, "stream", "unexpected first message"))
 	}
 }
 
 // garbled logs bytes of a peer that make no sense; a broken link is told by the link itself.
-func (m *Manager) garbled(remote string, err error) {
+func (m *Manager) logProtocolError(remote string, err error) {
 	if fault.CodeOf(err) == fault.Protocol {
 		events.PeerGarbled.Log(m.log).Str("peer", remote).Err(err).Send()
 	}
 }
 
 // confirmServe bounds a peer's question for the newest configuration: it waits no longer itself.
-const confirmServe = 250 * time.Millisecond
+const confirmTimeout = 250 * time.Millisecond
 
 func (m *Manager) serveConfirm(stream net.Conn) {
-	ctx, cancel := context.WithTimeout(context.Background(), confirmServe)
+	ctx, cancel := context.WithTimeout(context.Background(), confirmTimeout)
 	defer cancel()
 	config, known := m.handler.Confirm(ctx)
 	answer := &peerpb.Confirmed{Known: known, Config: config}
@@ -111,7 +111,7 @@
 }
 
 // knownPlanes is how many planes the asker of a pull knows; of others it could read nothing.
-func knownPlanes(p *peerpb.Pull) int {
+func knownSources(p *peerpb.Pull) int {
 	switch {
 	case p.GetPlanes() > 0:
 		return int(min(p.GetPlanes(), uint32(table.PlaneCount)))
@@ -123,7 +123,7 @@
 
 func (m *Manager) servePull(stream net.Conn, p *peerpb.Pull) {
 	from := revisionsOf(p.GetFrom())
-	for plane := knownPlanes(p); plane < table.PlaneCount; plane++ {
+	for plane := knownSources(p); plane < table.PlaneCount; plane++ {
 		from[plane] = math.MaxUint64
 	}
 	for _, d := range m.handler.Deltas(from, p.GetHostChanges()) {
@@ -134,22 +134,22 @@
 }
 
 // serving is the egress's side of one exchange.
-type serving struct {
+type egressExchange struct {
 	*streamSink
 	// offer is the dispatch as it came, completed by the hand-over.
 	offer *peerpb.Dispatch
 	// goes takes the ingress's word that the request may run, gone is closed when the stream has ended.
-	goes     chan *peerpb.Go
-	gone     chan struct{}
-	canceled atomic.Bool
+	goFrames    chan *peerpb.Go
+	streamEnded chan struct{}
+	canceled    atomic.Bool
 	// ctx is the exchange's; credit is how much more of the answer's body may be sent, or unlimited; more wakes who waits for it.
-	ctx    context.Context //nolint:containedctx // one exchange's life
-	credit atomic.Int64
-	more   chan struct{}
+	ctx         context.Context //nolint:containedctx // one exchange's life
+	credit      atomic.Int64
+	creditAdded chan struct{}
 }
 
 // Data implements Sink: it waits until the caller has read enough of what was sent before.
-func (v *serving) Data(b []byte, last bool) error {
+func (v *egressExchange) Data(b []byte, last bool) error {
 	for len(b) > 0 {
 		n, err := v.awaitCredit(len(b))
 		if err != nil {
@@ -164,7 +164,7 @@
 }
 
 // awaitCredit returns how much of so many bytes may be sent, at least one.
-func (v *serving) awaitCredit(want int) (int, error) {
+func (v *egressExchange) awaitCredit(want int) (int, error) {
 	for {
 		credit := v.credit.Load()
 		if credit == unlimited {
@@ -175,8 +175,8 @@
 			return int(n), nil
 		}
 		select {
-		case <-v.more:
-		case <-v.gone:
+		case <-v.creditAdded:
+		case <-v.streamEnded:
 			return 0, fault.New(fault.LinkLost, "answer", "link broke before its caller read it")
 		case <-v.ctx.Done():
 			return 0, fault.Wrap(v.ctx.Err(), ctxCode(v.ctx), "answer", "caller has not read it in time")
@@ -185,13 +185,13 @@
 }
 
 // grant lets more of the answer be sent.
-func (v *serving) grant(bytes uint32) {
+func (v *egressExchange) addCredit(bytes uint32) {
 	if v.credit.Load() == unlimited {
 		return
 	}
 	v.credit.Add(int64(bytes))
 	select {
-	case v.more <- struct{}{}:
+	case v.creditAdded <- struct{}{}:
 	default:
 	}
 }
@@ -201,9 +201,9 @@
 	defer cancel()
 	pr, pw := io.Pipe()
 	defer func() { _ = pr.Close() }()
-	v := &serving{
-		streamSink: newStreamSink(stream), offer: d, goes: make(chan *peerpb.Go, 1), gone: make(chan struct{}),
-		ctx: ctx, more: make(chan struct{}, 1),
+	v := &egressExchange{
+		streamSink: newStreamSink(stream), offer: d, goFrames: make(chan *peerpb.Go, 1), streamEnded: make(chan struct{}),
+		ctx: ctx, creditAdded: make(chan struct{}, 1),
 	}
 	v.credit.Store(unlimited)
 	if credit := d.GetCredit(); credit > 0 {
@@ -212,13 +212,13 @@
 	go func() {
 		// The ingress closes its side when it gives up; its body ends with a last piece before that.
 		_ = pw.CloseWithError(v.receive(r, pw, d.GetBodyLength()))
-		close(v.gone)
+		close(v.streamEnded)
 		// What was handed over by an offer runs on when the link breaks: its answer can be fetched.
 		if d.GetExchange() == 0 || v.canceled.Load() {
 			cancel()
 		}
 	}()
-	var sink Sink = unasked{v}
+	var sink Sink = noPermitSink{v}
 	if d.GetExchange() != 0 {
 		sink = v
 	}
@@ -230,30 +230,30 @@
 const unlimited = -1
 
 // unasked is the sink of an exchange whose ingress is not asked once more before the request runs.
-type unasked struct {
+type noPermitSink struct {
 	Sink
 }
 
 // Waiting implements Permitter.
-func (v *serving) Queued() {
+func (v *egressExchange) Queued() {
 	_ = v.put(&peerpb.Frame{Kind: &peerpb.Frame_Ack{Ack: &peerpb.Ack{}}}, false)
 }
 
 // Permit implements Permitter.
 //
 // Invariant: it returns true only after the ingress's word, and once it has returned false that word changes nothing.
-func (v *serving) Permit(ctx context.Context, load *peerpb.Load, due time.Duration) bool {
+func (v *egressExchange) Permit(ctx context.Context, load *peerpb.Load, due time.Duration) bool {
 	grant := &peerpb.Grant{Load: load, DueMicros: due.Microseconds(), Credits: v.credit.Load() != unlimited}
 	if v.put(&peerpb.Frame{Kind: &peerpb.Frame_Grant{Grant: grant}}, false) != nil {
 		return false
 	}
-	timer := time.NewTimer(grantLife)
+	timer := time.NewTimer(grantTimeout)
 	defer timer.Stop()
 	select {
-	case rest := <-v.goes:
+	case rest := <-v.goFrames:
 		complete(v.offer, rest)
 		return true
-	case <-v.gone:
+	case <-v.streamEnded:
 	case <-ctx.Done():
 	case <-timer.C:
 	}
@@ -261,7 +261,7 @@
 }
 
 // receive reads the ingress's words and body, then waits for the stream's end and returns why it ended.
-func (v *serving) receive(r FrameReader, w *io.PipeWriter, length int64) error {
+func (v *egressExchange) receive(r FrameReader, w *io.PipeWriter, length int64) error {
 	open := length != 0
 	for {
 		f, err := r.Read()
@@ -271,12 +271,12 @@
 		switch k := f.GetKind().(type) {
 		case *peerpb.Frame_Go:
 			select {
-			case v.goes <- k.Go:
+			case v.goFrames <- k.Go:
 			default:
 				return fault.New(fault.Protocol, "stream", "handed over twice")
 			}
 		case *peerpb.Frame_Credit:
-			v.grant(k.Credit.GetBytes())
+			v.addCredit(k.Credit.GetBytes())
 		case *peerpb.Frame_Cancel:
 			v.canceled.Store(true)
 			return fault.New(fault.Canceled, "stream", "caller went away")
@@ -301,7 +301,7 @@
 
 // serveFetch answers how an exchange ended; a peer that closes its side gives up.
 func (m *Manager) serveFetch(stream net.Conn, r FrameReader, f *peerpb.Fetch) {
-	ctx, cancel := context.WithTimeout(context.Background(), fetchLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 	defer cancel()
 	go func() {
 		_, _ = r.Read()
@@ -314,7 +314,7 @@
 
 // serveRelay passes a stream on to a peer and back, for two nodes that cannot reach each other.
 func (m *Manager) serveRelay(stream net.Conn, r FrameReader, to *peerpb.Relay) {
-	ctx, cancel := context.WithTimeout(context.Background(), fetchLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 	defer cancel()
 	s, err := m.Session(ctx, to.GetAddress())
 	if err != nil {
--- a/peer/session.go
+++ b/peer/session.go
@@ -24,7 +24,7 @@
 	// suspect is set from the first doubt about the link to the next echo, leaving by the peer's own word, pinned while
 	// the link stays open without a request.
 	suspect  atomic.Bool
-	leaving  atomic.Bool
+	draining atomic.Bool
 	pinned   atomic.Bool
 	inFlight atomic.Int64
 	// usedAt is when the link last carried a request, in nanoseconds since 1970; roundTrip is that of the last echo, in
@@ -33,8 +33,8 @@
 	roundTrip atomic.Int64
 	// busyAt is when the link last began to carry a request after it had carried none, provenAt when an offer was last made on
 	// it that its peer has answered, both in nanoseconds since 1970.
-	busyAt   atomic.Int64
-	provenAt atomic.Int64
+	busyAt     atomic.Int64
+	answeredAt atomic.Int64
 	// urgent is set while a beat is wanted at once.
 	urgent atomic.Bool
 	// done is closed with the link; wake has the next heartbeat sent now.
@@ -52,15 +52,15 @@
 
 // Limits of the first word on an offer: a few round trips, and time for a node that gets little of its processor.
 const (
-	leastOffer = 60 * time.Millisecond
-	mostOffer  = 300 * time.Millisecond
+	minOfferTimeout = 60 * time.Millisecond
+	maxOfferTimeout = 300 * time.Millisecond
 	// offerRounds is how many round trips of the link the word may take.
-	offerRounds = 8
+	offerRoundTrips = 8
 )
 
 // offerLimit is how long the first word on an offer may take.
-func (s *Session) offerLimit() time.Duration {
-	return min(max(leastOffer, offerRounds*time.Duration(s.roundTrip.Load())), mostOffer)
+func (s *Session) offerTimeout() time.Duration {
+	return min(max(minOfferTimeout, offerRoundTrips*time.Duration(s.roundTrip.Load())), maxOfferTimeout)
 }
 
 // begin notes an exchange under way; only an offer's answer can be fetched by another way when the link turns suspect. The
@@ -80,8 +80,8 @@
 }
 
 // proved notes that the peer has answered an offer made at a time: both ways of the link carried it.
-func (s *Session) proved(at time.Time) {
-	s.provenAt.Store(at.UnixNano())
+func (s *Session) recordAnsweredOffer(at time.Time) {
+	s.answeredAt.Store(at.UnixNano())
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.pending != 0 && s.pendingAt.Before(at) {
@@ -98,26 +98,26 @@
 }
 
 // unanswered takes an exchange whose stream says no more as evidence about the link: it gets no new work until an echo.
-func (s *Session) unanswered(x *sending) {
-	if x.ctx.Err() != nil || !x.offered || x.handed {
+func (s *Session) suspectUnanswered(x *ingressExchange) {
+	if x.ctx.Err() != nil || !x.offered || x.dispatched {
 		return
 	}
-	s.doubt("offer without an answer")
+	s.markSuspect("offer without an answer")
 }
 
 // doubt puts the link under suspicion.
-func (s *Session) doubt(reason string) {
+func (s *Session) markSuspect(reason string) {
 	if !s.suspect.CompareAndSwap(false, true) {
 		return
 	}
-	s.m.lost(s.address)
+	s.m.markUnreachable(s.address)
 	events.LinkSuspect.Log(s.m.log).Str("peer", s.address).Str("reason", reason).Send()
-	s.wakeStreams()
-	s.nudge()
+	s.interruptStreams()
+	s.beatNow()
 }
 
 // wakeStreams ends the exchanges under way on a link under suspicion; their answers are fetched by another way.
-func (s *Session) wakeStreams() {
+func (s *Session) interruptStreams() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for stream := range s.streams {
@@ -126,7 +126,7 @@
 }
 
 // nudge has the next heartbeat sent now.
-func (s *Session) nudge() {
+func (s *Session) beatNow() {
 	s.urgent.Store(true)
 	s.wakeBeat()
 }
@@ -146,7 +146,7 @@
 	s.closeOnce.Do(func() {
 		close(s.done)
 		closeMux(s.conn, s.mux)
-		s.m.forget(s)
+		s.m.removeSession(s)
 		events.LinkClosed.Log(s.m.log).Str("peer", s.address).Send()
 	})
 }
@@ -190,7 +190,7 @@
 
 // Confirm asks the peer for the newest version of the platform's configuration; false when it cannot say.
 func (s *Session) Confirm(ctx context.Context) (config uint64, known bool) {
-	f, err := s.ask(ctx, &peerpb.Frame{Kind: &peerpb.Frame_Confirm{Confirm: &peerpb.Confirm{}}})
+	f, err := s.call(ctx, &peerpb.Frame{Kind: &peerpb.Frame_Confirm{Confirm: &peerpb.Confirm{}}})
 	if err != nil {
 		return 0, false
 	}
@@ -200,7 +200,7 @@
 // Borrow asks the peer, as a home of a customer's limit, for some requests of it; an error when it does not answer.
 func (s *Session) RequestAllotment(ctx context.Context, customer string, want int) (granted int, wait time.Duration, err error) {
 	word := &peerpb.Borrow{Customer: customer, Want: uint32(want)} //nolint:gosec // a small number
-	f, err := s.ask(ctx, &peerpb.Frame{Kind: &peerpb.Frame_Borrow{Borrow: word}})
+	f, err := s.call(ctx, &peerpb.Frame{Kind: &peerpb.Frame_Borrow{Borrow: word}})
 	if err != nil {
 		return 0, 0, err
 	}
@@ -212,7 +212,7 @@
 }
 
 // ask says one word on a stream of its own and returns the peer's.
-func (s *Session) ask(ctx context.Context, word *peerpb.Frame) (*peerpb.Frame, error) {
+func (s *Session) call(ctx context.Context, word *peerpb.Frame) (*peerpb.Frame, error) {
 	stream, err := s.mux.OpenStream()
 	if err != nil {
 		return nil, fault.Wrap(err, fault.LinkDown, s.address, "stream cannot be opened")
@@ -227,6 +227,6 @@
 
 // Settle tells the peer how a claimed request ended; LinkLost when that cannot be confirmed.
 func (s *Session) Settle(ctx context.Context, msg *peerpb.Settle) error {
-	_, err := s.ask(ctx, &peerpb.Frame{Kind: &peerpb.Frame_Settle{Settle: msg}})
+	_, err := s.call(ctx, &peerpb.Frame{Kind: &peerpb.Frame_Settle{Settle: msg}})
 	return err
 }
--- a/peer/sink.go
+++ b/peer/sink.go
@@ -12,15 +12,15 @@
 // streamSink passes an answer to the ingress. What is known to be followed by more without a wait is held, so that a
 // short answer goes out in one write.
 type streamSink struct {
-	stream net.Conn
-	pooled *[]byte
-	mu     sync.Mutex
-	held   []byte
+	stream   net.Conn
+	pooled   *[]byte
+	mu       sync.Mutex
+	buffered []byte
 }
 
 func newStreamSink(stream net.Conn) *streamSink {
 	p, _ := buffers.Get().(*[]byte)
-	return &streamSink{stream: stream, pooled: p, held: (*p)[:0]}
+	return &streamSink{stream: stream, pooled: p, buffered: (*p)[:0]}
 }
 
 // put adds a frame and writes everything unless more follows soon.
@@ -30,15 +30,15 @@
 	if s.pooled == nil {
 		return fault.New(fault.LinkLost, "frame", "exchange has ended")
 	}
-	b, err := appendFrame(s.held, f)
+	b, err := appendFrame(s.buffered, f)
 	if err != nil {
 		return err
 	}
-	s.held = b
+	s.buffered = b
 	if soon {
 		return nil
 	}
-	s.held = b[:0]
+	s.buffered = b[:0]
 	return writeAll(s.stream, b)
 }
 
@@ -80,7 +80,7 @@
 	_ = s.put(&peerpb.Frame{Kind: &peerpb.Frame_End{End: e}}, false)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	keep(s.pooled, s.held)
+	recycle(s.pooled, s.buffered)
 	buffers.Put(s.pooled)
-	s.pooled, s.held = nil, nil
+	s.pooled, s.buffered = nil, nil
 }
