--- a/peer/accept.go
+++ b/peer/accept.go
@@ -12,6 +12,7 @@
 	"github.com/lynxplank/lynxplank/fault"
 )
 
+// accept accepts connections from peers until the manager is closed, at most MaxConns at once.
 func (m *Manager) accept(l net.Listener) {
 	for {
 		c, err := l.Accept()
@@ -32,7 +33,7 @@
 	}
 }
 
-// serveConn serves the streams of one link that a peer has opened.
+// serveConn serves the streams of one link that a peer opened, until the link ends.
 func (m *Manager) serveConn(c net.Conn) {
 	defer m.inboundConns.Add(-1)
 	defer func() { _ = c.Close() }()
@@ -56,6 +57,7 @@
 	}
 }
 
+// handshake completes the TLS handshake of an accepted connection; without TLS it does nothing.
 func handshake(c net.Conn) error {
 	if inner, ok := c.(countingConn); ok {
 		c = inner.Conn
@@ -67,12 +69,12 @@
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
 	if err := t.HandshakeContext(ctx); err != nil {
-		return fault.Wrap(err, fault.Unauthorized, c.RemoteAddr().String(), "peer shows no valid certificate")
+		return fault.Wrap(err, fault.Unauthorized, c.RemoteAddr().String(), "TLS handshake failed: no valid peer certificate")
 	}
 	return nil
 }
 
-// track notes a link that a peer has opened, or with a nil connection that it has ended.
+// trackAccepted records a link that a peer opened, or, with a nil connection, removes a link that has ended.
 func (m *Manager) trackAccepted(mux *yamux.Session, c net.Conn) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/peer/beat_test.go
+++ b/peer/beat_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestUntilBeat checks when a link beats next, for a heartbeat of 100 ms.
-func TestUntilBeat(t *testing.T) {
+// TestTimeToNextBeat checks the time to the next heartbeat of a link, with a heartbeat interval of 100 ms.
+func TestTimeToNextBeat(t *testing.T) {
 	start := time.Unix(1000, 0)
 	ms := func(n int64) time.Time { return start.Add(time.Duration(n) * time.Millisecond) }
 	for _, c := range []struct {
@@ -18,17 +18,17 @@
 		now                int64
 		want               time.Duration
 	}{
-		{name: "idle and kept", pinned: true, now: 100, want: 700 * time.Millisecond},
-		{name: "idle and kept for long", pinned: true, now: 900, want: -100 * time.Millisecond},
+		{name: "idle and pinned", pinned: true, now: 100, want: 700 * time.Millisecond},
+		{name: "idle and pinned, overdue", pinned: true, now: 900, want: -100 * time.Millisecond},
 		{name: "idle", now: 100, want: 1500 * time.Millisecond},
-		{name: "idle for long", now: 1700, want: -100 * time.Millisecond},
-		{name: "just busy after a rest", busy: 600, inFlight: 1, now: 600, want: 100 * time.Millisecond},
-		{name: "busy without a word", busy: 0, inFlight: 1, now: 150, want: -50 * time.Millisecond},
-		{name: "busy and answered", busy: 0, proven: 120, inFlight: 2, now: 150, want: 70 * time.Millisecond},
-		{name: "kept, always answered", pinned: true, proven: 790, inFlight: 1, now: 795, want: 5 * time.Millisecond},
-		{name: "always answered", proven: 1590, inFlight: 1, now: 1595, want: 5 * time.Millisecond},
-		{name: "under suspicion, answered before", proven: 120, inFlight: 1, suspect: true, now: 150, want: -50 * time.Millisecond},
-		{name: "wanted at once", urgent: true, now: 1, want: 0},
+		{name: "idle, overdue", now: 1700, want: -100 * time.Millisecond},
+		{name: "first request after an idle time", busy: 600, inFlight: 1, now: 600, want: 100 * time.Millisecond},
+		{name: "in-flight request, no answered offer", busy: 0, inFlight: 1, now: 150, want: -50 * time.Millisecond},
+		{name: "in-flight requests, answered offer", busy: 0, proven: 120, inFlight: 2, now: 150, want: 70 * time.Millisecond},
+		{name: "pinned, offers always answered", pinned: true, proven: 790, inFlight: 1, now: 795, want: 5 * time.Millisecond},
+		{name: "offers always answered", proven: 1590, inFlight: 1, now: 1595, want: 5 * time.Millisecond},
+		{name: "suspect, earlier answered offer", proven: 120, inFlight: 1, suspect: true, now: 150, want: -50 * time.Millisecond},
+		{name: "urgent", urgent: true, now: 1, want: 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := &Session{m: &Manager{cfg: Config{Heartbeat: 100 * time.Millisecond}}}
@@ -39,15 +39,15 @@
 			s.urgent.Store(c.urgent)
 			s.pinned.Store(c.pinned)
 			if got := s.timeToNextBeat(ms(c.sent), ms(c.now)); got != c.want {
-				t.Errorf("until the next beat: got %v, want %v", got, c.want)
+				t.Errorf("time to the next heartbeat: got %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// TestAnsweredOfferStandsForAnEcho checks that an offer which its peer has answered clears an older beat without an echo, and
-// not a younger one.
-func TestAnsweredOfferStandsForAnEcho(t *testing.T) {
+// TestAnsweredOfferCountsAsEcho checks that an answered offer clears a pending heartbeat that was sent before the
+// offer, but not one that was sent after it.
+func TestAnsweredOfferCountsAsEcho(t *testing.T) {
 	start := time.Unix(1000, 0)
 	for _, c := range []struct {
 		offered time.Duration
@@ -56,7 +56,7 @@
 		s := &Session{pending: 3, pendingAt: start}
 		s.recordAnsweredOffer(start.Add(c.offered))
 		if got := s.pending; got != c.want {
-			t.Errorf("beat without an echo, offer made %v after it: got %d, want %d", c.offered, got, c.want)
+			t.Errorf("pending heartbeat with an offer made %v after it: got %d, want %d", c.offered, got, c.want)
 		}
 	}
 }
--- a/peer/coalesce.go
+++ b/peer/coalesce.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// The parts of a yamux header that a joined connection looks at: the version, the type, two bytes of flags, four of the
-// stream and four of the length.
+// The layout of a yamux header, as far as coalescingConn reads it: the version (1 byte), the type (1 byte), the flags
+// (2 bytes), the stream id (4 bytes) and the length (4 bytes).
 const (
 	muxHeader       = 12
 	muxTypeAt       = 1
@@ -16,32 +16,35 @@
 	muxLengthAt     = 8
 	muxData         = 0
 	muxWindowUpdate = 1
-	muxOpen         = 1 | 2 // a stream is opened, or that is acknowledged
+	muxOpen         = 1 | 2 // SYN or ACK: a stream is opened, or its opening acknowledged
 )
 
 const (
-	// holdLimit bounds how long the opening of a stream waits for what is said on it first: much longer than a node takes to
-	// answer an offer, and short beside the time in which an offer must be answered.
+	// holdLimit bounds how long the opening of a stream is held for the first data on the stream: much longer than a
+	// node takes to answer an offer, and short compared with the timeout for the answer to an offer.
 	holdLimit = 2 * time.Millisecond
-	// mostJoined is the largest buffer that is kept between two writes, in bytes.
+	// maxKeptBuffer is the largest buffer that is kept between two writes, in bytes.
 	maxKeptBuffer = 64 << 10
 )
 
-// joined is a connection under yamux, which writes each header and its body by themselves. It writes the two together, and
-// the opening of a stream together with what is said on it first: of the twelve writes of an exchange, each a system call here
-// and a wake-up at the other side, six are left (TestWritesOfAnExchange).
+// coalescingConn is the connection below a yamux session. yamux writes each header and each body separately;
+// coalescingConn writes a header together with its body, and the opening of a stream together with the first data on
+// it. This reduces the twelve writes of an exchange, each of which is a system call here and a wake-up at the peer, to
+// six (TestWritesOfAnExchange).
 type coalescingConn struct {
 	net.Conn
 
 	mu sync.Mutex
-	// held is what waits for the next write, body how many bytes of a body are still to come before it may go.
+	// buffered are the bytes that wait for the next write, bodyLeft is the number of body bytes that must follow before
+	// they may be written.
 	buffered []byte
 	bodyLeft int
-	// timer flushes what is held for nothing; err is why a flush by it has failed.
+	// timer flushes an opening after which no data followed in time; err is the error of a flush by the timer.
 	timer *time.Timer
 	err   error
 }
 
+// newCoalescingConn returns c with its writes coalesced.
 func newCoalescingConn(c net.Conn) *coalescingConn {
 	j := &coalescingConn{Conn: c}
 	j.timer = time.AfterFunc(time.Hour, j.flushOpening)
@@ -49,19 +52,19 @@
 	return j
 }
 
-// Write implements net.Conn; what it holds counts as written, as what a socket buffers does.
+// Write implements net.Conn; buffered bytes count as written, as bytes in a socket buffer do.
 func (j *coalescingConn) Write(b []byte) (int, error) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if j.err != nil {
 		return 0, j.err
 	}
-	waits := j.shouldHold(b)
-	if len(j.buffered) == 0 && !waits {
+	hold := j.shouldHold(b)
+	if len(j.buffered) == 0 && !hold {
 		return j.Conn.Write(b)
 	}
 	j.buffered = append(j.buffered, b...)
-	if waits {
+	if hold {
 		return len(b), nil
 	}
 	j.timer.Stop()
@@ -71,7 +74,7 @@
 	return len(b), nil
 }
 
-// waits tells whether a piece is written together with the next one.
+// shouldHold reports whether b is buffered, to be written together with the next write, and updates bodyLeft.
 func (j *coalescingConn) shouldHold(b []byte) bool {
 	if j.bodyLeft > 0 {
 		j.bodyLeft -= len(b)
@@ -95,7 +98,7 @@
 	return false
 }
 
-// flush writes what is held; the lock is held.
+// flush writes the buffered bytes. The caller must hold j.mu.
 func (j *coalescingConn) flush() error {
 	_, err := j.Conn.Write(j.buffered)
 	j.buffered = j.buffered[:0]
@@ -105,7 +108,8 @@
 	return err
 }
 
-// expire writes an opening on which nothing was said yet; one with a body under way goes with that.
+// flushOpening writes an opening of a stream after which no data followed yet; if a header waits for its body, the
+// opening is written together with that body.
 func (j *coalescingConn) flushOpening() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/peer/coalesce_test.go
+++ b/peer/coalesce_test.go
@@ -10,7 +10,7 @@
 	"github.com/hashicorp/yamux"
 )
 
-// writes counts the writes of a connection.
+// countedWrites counts the writes to a connection.
 type countedWrites struct {
 	net.Conn
 	count *atomic.Int64
@@ -21,7 +21,8 @@
 	return w.Conn.Write(b)
 }
 
-// oneExchange says on one stream what an exchange does, a word each way twice, and returns how many writes that took.
+// writesOfExchange runs the message pattern of an exchange on one stream, two messages in each direction, and returns the
+// number of writes to both connections.
 func writesOfExchange(t *testing.T, wrap func(net.Conn) net.Conn) int64 {
 	t.Helper()
 	var count atomic.Int64
@@ -51,11 +52,12 @@
 	if err := <-served; err != nil {
 		t.Fatal(err)
 	}
-	// The last write may still be held for this long.
+	// The last write may still be buffered for up to holdLimit.
 	time.Sleep(5 * holdLimit)
 	return count.Load()
 }
 
+// echoTwice accepts a stream and echoes two messages of four bytes.
 func echoTwice(server *yamux.Session) error {
 	stream, err := server.AcceptStream()
 	if err != nil {
@@ -73,7 +75,7 @@
 	return stream.Close()
 }
 
-// word says a word and waits for it to come back.
+// roundTripOnce writes a message and waits for its echo.
 func roundTripOnce(w io.Writer, r io.Reader) error {
 	if _, err := w.Write([]byte("word")); err != nil {
 		return err
@@ -83,6 +85,7 @@
 	return err
 }
 
+// tcpPair returns the two ends of a TCP connection.
 func tcpPair(t *testing.T) (a, b net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -99,18 +102,19 @@
 	return a, b
 }
 
-// TestWritesOfAnExchange checks how many writes an exchange takes with and without joining them.
+// TestWritesOfAnExchange checks the number of writes of an exchange with and without coalescing.
 func TestWritesOfAnExchange(t *testing.T) {
 	if got, want := writesOfExchange(t, func(c net.Conn) net.Conn { return c }), int64(12); got != want {
-		t.Errorf("writes without joining: got %d, want %d", got, want)
+		t.Errorf("writes without coalescing: got %d, want %d", got, want)
 	}
 	if got, most := writesOfExchange(t, func(c net.Conn) net.Conn { return newCoalescingConn(c) }), int64(6); got > most {
-		t.Errorf("writes with joining: got %d, want at most %d", got, most)
+		t.Errorf("writes with coalescing: got %d, want at most %d", got, most)
 	}
 }
 
-// TestOpeningIsNotHeldForLong checks that a stream on which nothing is said still opens at the other side.
-func TestOpeningIsNotHeldForLong(t *testing.T) {
+// TestStreamOpeningIsFlushed checks that a stream to which nothing is written still opens at the peer: the opening is
+// buffered only until the timer flushes it.
+func TestStreamOpeningIsFlushed(t *testing.T) {
 	a, b := tcpPair(t)
 	client, err := yamux.Client(newCoalescingConn(a), Config{}.mux())
 	if err != nil {
@@ -135,6 +139,6 @@
 			t.Errorf("accept: got %v, want a stream", err)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("got no stream, want one")
+		t.Error("accept: got no stream within 10 s, want one")
 	}
 }
--- a/peer/control.go
+++ b/peer/control.go
@@ -8,21 +8,21 @@
 	"github.com/lynxplank/lynxplank/gen/peerpb"
 )
 
-// The heartbeats of one session. The dialer sends a beat every interval; the acceptor answers each one, and speaks up
-// by itself when its revision or its wish to leave changes. The dialer takes a link for cut when no beat has echoed
-// one of its last few: the way there or the way back may be the one that is cut.
+// The heartbeats of one session. The dialer sends a heartbeat every interval; the acceptor answers each one with an echo
+// of its sequence number, and sends a heartbeat of its own accord when its revisions change or it begins to drain. The
+// dialer suspects the link when the echo of a heartbeat takes longer than EchoTimeout: either direction may be cut.
 
 func beatFrame(b *peerpb.Beat) *peerpb.Frame {
 	return &peerpb.Frame{Kind: &peerpb.Frame_Beat{Beat: b}}
 }
 
-// serveControl is the acceptor's side.
+// serveControl runs the acceptor's side of a control stream until the stream ends.
 func (m *Manager) serveControl(stream net.Conn, r FrameReader, hello *peerpb.Hello) {
-	news := m.subscribe(hello.GetHall())
-	defer m.unsubscribe(news)
-	heard := make(chan uint64, 1)
+	changed := m.subscribe(hello.GetHall())
+	defer m.unsubscribe(changed)
+	received := make(chan uint64, 1)
 	go func() {
-		defer close(heard)
+		defer close(received)
 		for {
 			_ = stream.SetReadDeadline(time.Now().Add(m.cfg.acceptorReadTimeout()))
 			f, err := r.Read()
@@ -30,19 +30,19 @@
 				return
 			}
 			m.handleBeat(hello.GetNode(), f.GetBeat())
-			heard <- f.GetBeat().GetSequence()
+			received <- f.GetBeat().GetSequence()
 		}
 	}()
-	defer func() { _ = stream.SetReadDeadline(time.Now()); discardAll(heard) }()
+	defer func() { _ = stream.SetReadDeadline(time.Now()); discardAll(received) }()
 	var echo uint64
 	for {
 		select {
-		case seq, ok := <-heard:
+		case seq, ok := <-received:
 			if !ok {
 				return
 			}
 			echo = seq
-		case <-news:
+		case <-changed:
 		}
 		beat := m.beat()
 		beat.Echo = echo
@@ -52,10 +52,10 @@
 	}
 }
 
-// acceptorPatience is after how many times the limit of an echo a link is closed on which nothing is heard.
+// closeFactor is the number of echo timeouts without a sign of life after which a link is closed.
 const closeFactor = 10
 
-// drain empties a channel, so that whoever fills it comes to its end.
+// discardAll reads and drops all values of a channel, so that its sender does not block and can finish.
 func discardAll(c <-chan uint64) {
 	go func() {
 		for range c {
@@ -64,7 +64,7 @@
 	}()
 }
 
-// control is the dialer's side; it ends with the session.
+// runControl runs the dialer's side of the control stream and closes the session when it returns.
 func (s *Session) runControl(stream net.Conn) {
 	defer s.close()
 	hello := &peerpb.Hello{Node: s.m.cfg.Node, Hall: s.m.cfg.Hall, Incarnation: s.m.cfg.Incarnation}
@@ -87,7 +87,8 @@
 	}
 }
 
-// awaitBeat waits until the next beat after the one sent at a time is due; false when the link is done with.
+// awaitBeat waits until the heartbeat after the one sent at the given time is due. It returns false when the session
+// has ended or should be closed.
 func (s *Session) awaitBeat(sent time.Time, tick *time.Timer) bool {
 	for {
 		wait := s.timeToNextBeat(sent, time.Now())
@@ -107,9 +108,10 @@
 	}
 }
 
-// untilBeat is the time from now to the next beat. A link on which no request is under way beats slowly: an offer finds out at
-// once whether it is cut, and what its peer has to tell comes without being asked. On one that carries requests an answered
-// offer says what an echo would, so it beats only when none has been answered for a while.
+// timeToNextBeat returns the time from now to the next heartbeat; the previous one was sent at the given time. A link
+// without in-flight requests sends heartbeats slowly: the next offer detects at once whether the link is cut, and the
+// peer reports changes unasked. On a link with in-flight requests an answered offer proves as much as an echo, so a
+// heartbeat is sent only when no offer has been answered for a while.
 func (s *Session) timeToNextBeat(sent, now time.Time) time.Duration {
 	idle := sent.Add(s.idleFactor() * s.m.cfg.Heartbeat).Sub(now)
 	switch {
@@ -124,15 +126,15 @@
 	return min(idle, time.Unix(0, last).Add(s.m.cfg.Heartbeat).Sub(now))
 }
 
-// idleFactor is how many times the usual interval lies between the beats of an idle link that is kept for what its peer has to
-// tell, restFactor the same for one that only carries requests: those find out for themselves, and a node of a large fleet has
-// dozens, each beat of which wakes both ends.
+// pinnedIdleFactor multiplies the heartbeat interval on an idle link that is kept open for the peer's reports,
+// unpinnedIdleFactor on an idle link that only carries requests. The latter is larger because requests detect a cut
+// link themselves, and a node of a large fleet has dozens of such links, where each heartbeat wakes both ends.
 const (
 	pinnedIdleFactor   = 8
 	unpinnedIdleFactor = 2 * pinnedIdleFactor
 )
 
-// restFactor is the factor of this link.
+// idleFactor returns the factor by which the heartbeat interval grows while this link is idle.
 func (s *Session) idleFactor() time.Duration {
 	if s.pinned.Load() {
 		return pinnedIdleFactor
@@ -140,12 +142,13 @@
 	return unpinnedIdleFactor
 }
 
-// acceptorLimit is how long the acceptor of a link hears nothing before it closes it: long enough for a frozen peer to come back
-// to its link, and for some beats of an idle one to be late.
+// acceptorReadTimeout is how long the acceptor waits for a heartbeat before it closes the link: long enough for a frozen
+// peer to resume on the same link, and for several heartbeats of an idle link to be delayed.
 func (c Config) acceptorReadTimeout() time.Duration {
 	return max(closeFactor*c.EchoTimeout, 2*unpinnedIdleFactor*c.Heartbeat)
 }
 
+// listen reads the heartbeats of the acceptor until the control stream ends, then closes the session.
 func (s *Session) listen(r FrameReader) {
 	defer s.close()
 	for {
@@ -163,7 +166,7 @@
 	}
 }
 
-// sent notes when a beat was sent, as long as an earlier one is not waiting for its echo.
+// recordBeat records when a heartbeat was sent, unless an earlier one still waits for its echo.
 func (s *Session) recordBeat(seq uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -173,6 +176,8 @@
 	}
 }
 
+// recordEcho handles the echo of a heartbeat: it measures the round trip and ends a suspicion. An echo older than the
+// pending heartbeat is ignored.
 func (s *Session) recordEcho(seq uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -187,7 +192,9 @@
 	}
 }
 
-// judge suspects a link without an echo and returns false when it should be closed.
+// checkLink marks the link as suspect if an echo is overdue. It returns false if the link should be closed: if no echo
+// arrived for closeFactor times the echo timeout, or if it carries no request and either its peer drains or the link is
+// not pinned and was idle for the idle timeout.
 func (s *Session) checkLink(now time.Time) bool {
 	s.mu.Lock()
 	waiting := time.Duration(0)
--- a/peer/counted.go
+++ b/peer/counted.go
@@ -5,7 +5,7 @@
 	"sync/atomic"
 )
 
-// counted counts the bytes of a connection.
+// countingConn adds the bytes read from and written to a connection to a counter.
 type countingConn struct {
 	net.Conn
 	bytes *atomic.Uint64
--- a/peer/dial.go
+++ b/peer/dial.go
@@ -12,7 +12,7 @@
 	"github.com/lynxplank/lynxplank/fault"
 )
 
-// Session returns the link to a peer, dialing it if there is none; callers at the same moment share one dial.
+// Session returns the link to a peer and dials it if there is none; concurrent callers share one dial.
 func (m *Manager) Session(ctx context.Context, address string) (*Session, error) {
 	m.mu.Lock()
 	if s := m.sessions[address]; s != nil {
@@ -30,11 +30,12 @@
 	case <-d.done:
 		return d.session, d.err
 	case <-ctx.Done():
-		return nil, fault.Wrap(ctx.Err(), fault.LinkDown, address, "link did not come up in time")
+		return nil, fault.Wrap(ctx.Err(), fault.LinkDown, address, "link was not established in time")
 	}
 }
 
-// Renew returns a link to a peer; one under suspicion is left to its heartbeat and replaced by a new one.
+// Renew returns a link to a peer. A suspect link is replaced by a new one and left to its heartbeats, which decide when
+// it is closed.
 func (m *Manager) Renew(ctx context.Context, address string) (*Session, error) {
 	m.mu.Lock()
 	if s := m.sessions[address]; s != nil && s.suspect.Load() {
@@ -45,7 +46,7 @@
 	return m.Session(ctx, address)
 }
 
-// Pin keeps the link to a peer open while it carries nothing.
+// Pin returns the link to a peer and keeps it open while it is idle.
 func (m *Manager) Pin(ctx context.Context, address string) (*Session, error) {
 	s, err := m.Session(ctx, address)
 	if err == nil {
@@ -54,7 +55,8 @@
 	return s, err
 }
 
-// dial opens a link, tells whoever waits for it, and runs its control stream until it ends.
+// dial opens a link, passes the result to the callers that wait for it, and runs the control stream until the link
+// ends.
 func (m *Manager) dial(address string, d *dial) {
 	s, err := m.connect(address)
 	m.mu.Lock()
@@ -78,22 +80,24 @@
 	s.runControl(stream)
 }
 
+// connect dials a peer and opens a session on the connection.
 func (m *Manager) connect(address string) (*Session, error) {
 	c, err := m.dialConn(address)
 	if err != nil {
-		return nil, fault.Wrap(err, fault.LinkDown, address, "peer cannot be reached")
+		return nil, fault.Wrap(err, fault.LinkDown, address, "cannot connect to the peer")
 	}
 	mux, err := yamux.Client(newCoalescingConn(countingConn{c, &m.bytes}), m.cfg.mux())
 	if err != nil {
 		_ = c.Close()
-		return nil, fault.Wrap(err, fault.LinkDown, address, "session cannot be opened")
+		return nil, fault.Wrap(err, fault.LinkDown, address, "cannot open the yamux session")
 	}
 	s := &Session{
 		m: m, address: address, mux: mux, conn: c,
 		done: make(chan struct{}), wake: make(chan struct{}, 1), streams: make(map[net.Conn]struct{}),
 	}
 	s.usedAt.Store(time.Now().UnixNano())
-	// A frozen peer takes connections too: a link that closed under suspicion comes back under it, until an echo.
+	// The kernel of a frozen peer still accepts connections: if the last link was suspect when it ended, the new one
+	// starts out suspect, until its first echo.
 	m.mu.Lock()
 	s.suspect.Store(m.suspects[address])
 	delete(m.suspects, address)
@@ -101,6 +105,7 @@
 	return s, nil
 }
 
+// dialConn opens a connection to a peer, over TLS if configured.
 func (m *Manager) dialConn(address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
@@ -113,12 +118,13 @@
 	if err != nil {
 		return nil, err
 	}
-	// With TLS 1.3 a refused certificate shows only on the first read; the control stream meets it soon after.
+	// With TLS 1.3 the rejection of the client certificate shows only on the first read; the control stream, which
+	// opens next, runs into it.
 	_ = c.SetDeadline(time.Time{})
 	return c, nil
 }
 
-// forget takes a link that has ended out; its suspicion stays with the peer.
+// removeSession removes a link that has ended. If the link was suspect, the next link to the peer starts out suspect.
 func (m *Manager) removeSession(s *Session) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/peer/doc.go
+++ b/peer/doc.go
@@ -1,6 +1,6 @@
-// Package peer links the nodes: yamux sessions over TCP or mutual TLS, protobuf frames, heartbeats that find a link
-// cut in one direction, and the exchanges of requests and configuration over them.
+// Package peer connects the nodes of the fleet: yamux sessions over TCP or mutual TLS, protobuf frames, heartbeats that
+// detect a link which is cut in only one direction, and the exchange of requests and configuration over these links.
 //
-// A node carries its own requests over sessions that it dialed. Each session has one control stream, on which the
-// dialer beats and the acceptor echoes what it heard: silence on either way stops the echo.
+// A node sends its requests over sessions that it dialed itself. Each session has one control stream, on which the
+// dialer sends heartbeats and the acceptor echoes their sequence numbers: a loss in either direction stops the echoes.
 package peer
--- a/peer/errors.go
+++ b/peer/errors.go
@@ -8,7 +8,7 @@
 	"github.com/hashicorp/yamux"
 )
 
-// isTransport tells an error of the link from one of the bytes on it.
+// isTransport reports whether err is a failure of the link, as opposed to malformed bytes received over it.
 func isTransport(err error) bool {
 	var netErr net.Error
 	switch {
--- a/peer/exchange.go
+++ b/peer/exchange.go
@@ -9,42 +9,45 @@
 	"github.com/lynxplank/lynxplank/gen/peerpb"
 )
 
-// Sink takes an endpoint's answer as it arrives; an error of the sink ends the exchange.
+// Sink receives an endpoint's answer as it arrives; an error returned by a method ends the exchange.
 type Sink interface {
-	// Late tells that the endpoint has taken long already.
+	// ReportOverdue reports that the endpoint has already taken unusually long.
 	ReportOverdue()
-	// Due tells in how long from now an answer is due, 0 for at once; a later word takes the place of an earlier one.
+	// Due reports the time from now within which an answer is due, 0 for immediately; each call replaces the earlier
+	// value.
 	Due(in time.Duration)
-	// Head takes the status and headers, once; soon tells that the body or the end follows without a wait.
+	// Head receives the status and headers, once; soon is set if the body or the end follows without a wait.
 	Head(h *peerpb.Head, soon bool) error
-	// Data takes a piece of the body, valid during the call only; last tells that the end follows without a wait.
+	// Data receives a chunk of the body, which is valid during the call only; last is set if the end follows without
+	// a wait.
 	Data(b []byte, last bool) error
 }
 
-// Permitter is a Sink whose owner must agree once more, at the moment of the hand-over, before the request runs.
+// Permitter is a Sink whose ingress must confirm, when a slot is free, that the request may run.
 type Permitter interface {
 	Sink
-	// Waiting tells that the request has arrived and waits for a slot.
+	// Queued reports that the request has arrived and waits for a slot.
 	Queued()
-	// Permit offers the slot and returns whether the request may run now; due is the time from then on within which an
-	// answer is due, 0 if that is not known or was not asked for.
+	// Permit offers the slot to the ingress and returns whether the request may run now. due is the time, counted from
+	// the dispatch, within which an answer is due, 0 if it is unknown or was not requested.
 	Permit(ctx context.Context, load *peerpb.Load, due time.Duration) bool
 }
 
-// HandOver is a Sink whose owner is asked right before the request is handed to an endpoint.
+// DispatchGate is a Sink that is asked for consent immediately before the request is dispatched to an endpoint.
 type DispatchGate interface {
 	Sink
-	// HandOver returns whether the request may be handed over; once it has returned true an endpoint may have it.
+	// AllowDispatch returns whether the request may be dispatched; once it has returned true an endpoint may have
+	// received the request.
 	AllowDispatch() bool
 }
 
-// MayHandOver asks a sink that wants to be asked.
+// AllowsDispatch returns the consent of a sink that is a DispatchGate, and true for any other sink.
 func AllowsDispatch(sink Sink) bool {
-	h, asks := sink.(DispatchGate)
-	return !asks || h.AllowDispatch()
+	gate, ok := sink.(DispatchGate)
+	return !ok || gate.AllowDispatch()
 }
 
-// NotRun returns the end of an exchange whose request was provably not handed to the endpoint.
+// NotRun returns the end of an exchange whose request was provably not dispatched to the endpoint.
 func NotRun(code fault.Code, retryAfter time.Duration) *peerpb.End {
 	return &peerpb.End{
 		Outcome: peerpb.Outcome_OUTCOME_NOT_RUN, Code: string(code),
@@ -52,18 +55,19 @@
 	}
 }
 
-// Unknown returns the end of an exchange whose fate cannot be told.
+// Unknown returns the end of an exchange of which it is not known whether its request ran.
 func Unknown(code fault.Code) *peerpb.End {
 	return &peerpb.End{Outcome: peerpb.Outcome_OUTCOME_UNKNOWN, Code: string(code)}
 }
 
-// Exchange sends one request to the egress at the other side and passes the answer to sink.
+// Exchange sends one request to the egress of the peer and passes the answer to sink.
 //
-// A dispatch with an exchange number is an offer: the egress holds a slot, says so, and waits for our word. Until that
-// word is written the request has provably not run, whatever becomes of the link.
+// A dispatch with an exchange number is an offer: the egress holds a slot, reports that with a Grant frame, and waits
+// for this node's Go frame. Until the Go frame is written the request has provably not run, whatever happens to the
+// link.
 //
-// Invariant: it reports NOT_RUN only on the egress's word, when not one byte of the request was written, or for an
-// offer whose hand-over was not written.
+// Invariant: Exchange returns NOT_RUN only if the egress reported it, if not one byte of the request was written, or
+// for an offer whose Go frame was not written.
 func (s *Session) Exchange(ctx context.Context, d *peerpb.Dispatch, body io.Reader, sink Sink) *peerpb.End {
 	if ctx.Err() != nil {
 		return NotRun(ctxCode(ctx), 0)
@@ -90,8 +94,8 @@
 	return x.receive(sink, func() error { return x.dispatch(d, body, sink) })
 }
 
-// offerOf is a dispatch without what only the endpoint needs: most offers to a busy fleet are turned away, and the links
-// between halls are dear.
+// offerOf returns a dispatch without the fields that only the endpoint needs: a busy fleet refuses most offers, and the
+// bandwidth between halls is expensive.
 func offerOf(d *peerpb.Dispatch) *peerpb.Dispatch {
 	return &peerpb.Dispatch{
 		RequestId: d.GetRequestId(), Endpoint: d.GetEndpoint(), Service: d.GetService(), Customer: d.GetCustomer(),
@@ -104,29 +108,30 @@
 	}
 }
 
-// goOf is the rest of a dispatch, which goes with the hand-over.
+// goOf returns the remaining fields of a dispatch, which are sent when the request may run.
 func goOf(d *peerpb.Dispatch) *peerpb.Go {
 	return &peerpb.Go{
 		Method: d.GetMethod(), Target: d.GetTarget(), Host: d.GetHost(), Headers: d.GetHeaders(), Body: d.GetBody(),
 	}
 }
 
-// complete adds the rest to an offer.
+// complete adds the fields of a Go frame to an offer.
 func complete(d *peerpb.Dispatch, g *peerpb.Go) {
 	d.Method, d.Target, d.Host, d.Headers, d.Body = g.GetMethod(), g.GetTarget(), g.GetHost(), g.GetHeaders(), g.GetBody()
 }
 
-// Fetch asks the egress at the other side for the answer of an exchange that this node offered and handed over, and
-// whose link broke. If the hand-over never arrived, it never will have: the answer is NOT_RUN.
+// Fetch asks the egress of the peer for the answer of an exchange that this node offered and dispatched before the link
+// broke. If the Go frame has not arrived at the egress, the request will never run there: the outcome is NOT_RUN.
 func (s *Session) Fetch(ctx context.Context, exchange uint64, sink Sink) *peerpb.End {
 	return s.fetch(ctx, exchange, sink, "")
 }
 
-// FetchVia does the same by way of the peer at the other side, for an egress at an address that this node cannot reach.
+// FetchVia fetches an answer as Fetch does, relayed by this peer, from an egress whose address this node cannot reach.
 func (s *Session) FetchVia(ctx context.Context, address string, exchange uint64, sink Sink) *peerpb.End {
 	return s.fetch(ctx, exchange, sink, address)
 }
 
+// fetch requests the answer of an exchange, through the peer as a relay if via is not empty.
 func (s *Session) fetch(ctx context.Context, exchange uint64, sink Sink, via string) *peerpb.End {
 	if ctx.Err() != nil {
 		return Unknown(ctxCode(ctx))
--- a/peer/fields_test.go
+++ b/peer/fields_test.go
@@ -9,7 +9,7 @@
 	"github.com/lynxplank/lynxplank/gen/peerpb"
 )
 
-// full returns a dispatch in which every field but the claim, which no offer has, is set.
+// filledDispatch returns a dispatch in which every field is set except the claim, which an offer never has.
 func filledDispatch(t *testing.T) *peerpb.Dispatch {
 	t.Helper()
 	d := &peerpb.Dispatch{Headers: []*peerpb.Header{{Name: "a", Value: "b"}}}
@@ -34,19 +34,19 @@
 			m.Set(f, protoreflect.ValueOfFloat64(7))
 		case protoreflect.MessageKind:
 		default:
-			t.Fatalf("field %s: kind %v is not filled", f.Name(), f.Kind())
+			t.Fatalf("field %s: no test value for kind %v", f.Name(), f.Kind())
 		}
 	}
 	return d
 }
 
-// TestHandOverCompletesTheOffer checks that an offer and its hand-over together say all that the request's ingress said: a
-// field that neither carries would hold at the ingress's own host only.
-func TestHandOverCompletesTheOffer(t *testing.T) {
+// TestGoFrameCompletesOffer checks that an offer and its Go frame together carry every field of the dispatch. A field
+// that is in neither would be lost on the way, and take effect only at an endpoint on the ingress's own host.
+func TestGoFrameCompletesOffer(t *testing.T) {
 	want := filledDispatch(t)
 	got := offerOf(want)
 	complete(got, goOf(want))
 	if !proto.Equal(got, want) {
-		t.Errorf("dispatch after the hand-over: got %v, want %v", got, want)
+		t.Errorf("dispatch completed by the Go frame: got %v, want %v", got, want)
 	}
 }
--- a/peer/link_test.go
+++ b/peer/link_test.go
@@ -21,7 +21,7 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// echo answers every dispatch with its own request id and body.
+// echoHandler answers every dispatch with its request id and body.
 type echoHandler struct{}
 
 func (echoHandler) Serve(_ context.Context, d *peerpb.Dispatch, body io.Reader, sink Sink) *peerpb.End {
@@ -44,13 +44,14 @@
 
 func (echoHandler) HandleCrashReport(*peerpb.Ended) {}
 
-// Lend implements Handler.
+// GrantAllotment implements Handler.
 func (echoHandler) GrantAllotment(_ string, want int) (int, time.Duration) { return want - 1, 0 }
 
 func (echoHandler) Confirm(context.Context) (uint64, bool) { return 7, true }
 
 func (echoHandler) Deltas(table.Revisions, bool) []*peerpb.Delta { return []*peerpb.Delta{{To: 7}} }
 
+// recordingSink records the body of an answer.
 type recordingSink struct{ body []byte }
 
 func (*recordingSink) ReportOverdue()                {}
@@ -58,6 +59,7 @@
 func (*recordingSink) Head(*peerpb.Head, bool) error { return nil }
 func (k *recordingSink) Data(b []byte, _ bool) error { k.body = append(k.body, b...); return nil }
 
+// startManager starts a node whose handler is echoHandler, and returns it with its address.
 func startManager(t *testing.T, config *tls.Config) (*Manager, string) {
 	t.Helper()
 	log := zerolog.Nop()
@@ -73,6 +75,7 @@
 	return m, m.listener.Addr().String()
 }
 
+// exchange sends a request to a peer and returns its end and the body of its answer.
 func exchange(t *testing.T, m *Manager, address, id string) (*peerpb.End, string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
@@ -86,7 +89,7 @@
 	return end, string(k.body)
 }
 
-// authority signs certificates for the test's nodes.
+// authority returns a new certificate authority and a function that issues certificates for 127.0.0.1.
 func authority(t *testing.T) (*x509.CertPool, func() tls.Certificate) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -121,8 +124,8 @@
 	}
 }
 
-// TestMutualTLS checks that a peer with a certificate of the authority is served and that one with none, or with one
-// of another authority, is refused.
+// TestMutualTLS checks that a peer with a certificate of the configured authority is served and that a peer without a
+// certificate, or with one of another authority, is refused.
 func TestMutualTLS(t *testing.T) {
 	pool, issue := authority(t)
 	_, issueOther := authority(t)
@@ -138,7 +141,7 @@
 		client *tls.Config
 		want   peerpb.Outcome
 	}{
-		{"own authority", config(issue()), peerpb.Outcome_OUTCOME_RAN},
+		{"same authority", config(issue()), peerpb.Outcome_OUTCOME_RAN},
 		{"no certificate", config(), peerpb.Outcome_OUTCOME_UNKNOWN},
 		{"other authority", config(issueOther()), peerpb.Outcome_OUTCOME_UNKNOWN},
 	}
@@ -153,9 +156,9 @@
 	}
 }
 
-// TestOwnAnswer runs many exchanges at once over one link, some of them given up midway, and checks that each gets its
-// own answer.
-func TestOwnAnswer(t *testing.T) {
+// TestConcurrentExchangesGetOwnAnswers runs many exchanges concurrently over one link, some of which are canceled
+// midway, and checks that each of the others gets its own answer.
+func TestConcurrentExchangesGetOwnAnswers(t *testing.T) {
 	server, address := startManager(t, nil)
 	_ = server
 	m, _ := startManager(t, nil)
@@ -167,7 +170,7 @@
 				ctx, cancel := context.WithTimeout(context.Background(), time.Duration(i)*10*time.Microsecond)
 				defer cancel()
 				if s, err := m.Session(ctx, address); err == nil {
-					_ = s.Exchange(ctx, &peerpb.Dispatch{RequestId: "given up", BudgetMicros: 1e6}, nil, &recordingSink{})
+					_ = s.Exchange(ctx, &peerpb.Dispatch{RequestId: "canceled", BudgetMicros: 1e6}, nil, &recordingSink{})
 				}
 				done <- ""
 				return
@@ -186,7 +189,7 @@
 	}
 }
 
-// TestLargeBodies sends bodies of known and unknown length, larger than a frame, through a link and back.
+// TestLargeBodies sends bodies larger than a frame, of known and of unknown length, over a link and back.
 func TestLargeBodies(t *testing.T) {
 	_, address := startManager(t, nil)
 	m, _ := startManager(t, nil)
@@ -210,8 +213,8 @@
 	}
 }
 
-// TestGarbledPeer checks that unreadable bytes end their own stream or link and disturb nothing else.
-func TestGarbledPeer(t *testing.T) {
+// TestMalformedBytesFromPeer checks that malformed bytes end only the stream or link on which they arrive.
+func TestMalformedBytesFromPeer(t *testing.T) {
 	_, address := startManager(t, nil)
 	m, _ := startManager(t, nil)
 	if end, _ := exchange(t, m, address, "before"); end.GetOutcome() != peerpb.Outcome_OUTCOME_RAN {
@@ -233,14 +236,14 @@
 	}
 	_, _ = stream.Write([]byte("\xff\xff\xff\xff\xff\xff\xff\xff\xff\x7f garbage"))
 	if n, err := stream.Read(make([]byte, 1)); err == nil {
-		t.Errorf("garbled stream: got %d bytes, want its end", n)
+		t.Errorf("stream with malformed bytes: got %d bytes, want its end", n)
 	}
 	if end, got := exchange(t, m, address, "after"); end.GetOutcome() != peerpb.Outcome_OUTCOME_RAN || got != "after" {
 		t.Errorf("after: got %v %q, want its own answer", end, got)
 	}
 }
 
-// FuzzFrame reads arbitrary bytes as frames: an error at most, never a panic or an endless read.
+// FuzzFrame reads arbitrary bytes as frames: the result may be an error, but never a panic or an endless read.
 func FuzzFrame(f *testing.F) {
 	good := &recorder{}
 	_ = WriteFrame(good, &peerpb.Frame{Kind: &peerpb.Frame_Head{Head: &peerpb.Head{Status: 200}}})
@@ -259,6 +262,7 @@
 	})
 }
 
+// recorderReader reads from a byte slice.
 type recorderReader struct{ b []byte }
 
 func (r *recorderReader) Read(p []byte) (int, error) {
--- a/peer/manager.go
+++ b/peer/manager.go
@@ -19,49 +19,51 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// Config is what the links of a node are built from.
+// Config configures the links of a node.
 type Config struct {
 	// Node is this node's id.
 	Node string
 	// Hall is this node's hall.
 	Hall string
-	// Incarnation tells this process from earlier ones of the same node.
+	// Incarnation distinguishes this process from earlier processes of the same node.
 	Incarnation uint64
-	// Listen is the IP and port for peers.
+	// Listen is the IP address and port on which peers connect.
 	Listen string
-	// Heartbeat is the time between beats.
+	// Heartbeat is the interval between the heartbeats of a link.
 	Heartbeat time.Duration
-	// CutAfter is how long an echo may take before the link gets no new work.
+	// EchoTimeout is how long the echo of a heartbeat may take before the link becomes suspect and gets no new requests;
+	// cut_after in the settings.
 	EchoTimeout time.Duration
-	// IdleClose is how long a link may carry nothing before it is closed.
+	// IdleTimeout is how long a link may carry no request before it is closed; idle_close in the settings.
 	IdleTimeout time.Duration
-	// Conns bounds the peers connected at once.
+	// MaxConns is the maximum number of connections accepted from peers at once; conns in the settings.
 	MaxConns int
-	// TLS is set for mutual TLS.
+	// TLS is the configuration for mutual TLS, nil for plain TCP.
 	TLS *tls.Config
 }
 
 const (
-	// dialTimeout bounds the opening of a link, and its handshake on either side.
+	// dialTimeout bounds the opening of a link, and the TLS handshake on either side.
 	dialTimeout = time.Second
 	// writeTimeout bounds one write to a link.
 	writeTimeout = 2 * time.Second
 	// acceptBacklog is how many streams of one link may wait to be served.
 	acceptBacklog = 1024
-	// streamWindow is how much of a stream may be on its way unread, in bytes: the least that yamux takes. An answer's own window is
-	// smaller.
+	// streamWindow is how much of a stream may be sent before it is read, in bytes: the minimum that yamux accepts. The
+	// window of an answer, answerWindow, is smaller.
 	streamWindow = 256 << 10
-	// streamOpenLimit is long: the heartbeat judges a silent peer, and this must not cut what a frozen one may still
-	// answer.
+	// streamOpenTimeout bounds the opening of a stream. It is long because the heartbeats detect a silent peer, and
+	// because yamux closes the session after it, which must not cut exchanges that a frozen peer may still answer.
 	streamOpenTimeout = 30 * time.Second
-	// leaveBeats is how many heartbeats peers have to read their last answers and close, mostLeave the longest such time:
-	// an answer takes a few round trips at most.
+	// drainBeats is the number of heartbeat intervals that peers have, when this node stops, to read their last answers
+	// and close their links; maxDrainWait bounds that time. An answer takes a few round trips at most.
 	drainBeats   = 4
 	maxDrainWait = 250 * time.Millisecond
-	// closeLook is the time between two looks whether they have.
+	// closePollInterval is the time between two checks whether the peers have closed their links.
 	closePollInterval = time.Millisecond
 )
 
+// mux returns the configuration of a yamux session. Its keep-alive is off, because the heartbeats do that work.
 func (c Config) mux() *yamux.Config {
 	y := yamux.DefaultConfig()
 	y.EnableKeepAlive = false
@@ -73,53 +75,55 @@
 	return y
 }
 
-// Manager holds every link of a node; it is a kernel component.
+// Manager holds all links of a node, those that it dialed and those that it accepted; it is a kernel component.
 type Manager struct {
 	cfg      Config
 	log      *zerolog.Logger
 	handler  Handler
 	listener net.Listener
-	// revisions is what this node has in force.
+	// revisions are the revisions of the active configuration, by source.
 	revisions atomic.Pointer[table.Revisions]
 	draining  atomic.Bool
 	closed    atomic.Bool
-	// inbound counts the connections that peers have opened, working what they ask, bytes what links carry.
+	// inboundConns counts the open connections accepted from peers, requests the requests of peers that are being served,
+	// and bytes the bytes read from and written to links.
 	inboundConns atomic.Int64
 	requests     inflight.Counter
 	bytes        atomic.Uint64
 
 	mu sync.Mutex
-	// sessions are the dialed links by the peer's address, dialing those being opened.
+	// sessions are the dialed links by the peer's address, dialing the links that are being opened.
 	sessions map[string]*Session
 	dialing  map[string]*dial
-	// suspects are the peers whose last link ended, or was replaced, under suspicion.
+	// suspects are the peers whose last link was suspect when it ended or was replaced.
 	suspects map[string]bool
-	// unreachable are the peers that cannot be reached; redialing is set while some of them are tried again.
+	// unreachable are the peers that cannot be reached, redialing is set while a timer for redialing them is running.
 	unreachable map[string]*outage
 	redialing   bool
 	accepted    map[*yamux.Session]net.Conn
-	// subscribers are the connected peers that hear of news at once, with the hall of each.
+	// subscribers are the channels of the connected peers that are notified of changes, with the hall of each peer.
 	subscribers map[chan struct{}]string
 
 	onNewRevisions func(peer string, revisions table.Revisions)
 }
 
-// dial is a link that is being opened; session and err hold once done is closed.
+// dial is a link that is being opened; session and err are valid once done is closed.
 type dial struct {
 	done    chan struct{}
 	session *Session
 	err     error
 }
 
-// Option changes a manager under construction.
+// Option configures a Manager under construction.
 type Option func(*Manager)
 
-// WithBeatHook calls f whenever a peer shows a later revision of something; f must not block.
+// WithRevisionHook calls f whenever a heartbeat of a peer reports a newer revision of some source than this node has; f
+// must not block.
 func WithRevisionHook(f func(peer string, revisions table.Revisions)) Option {
 	return func(m *Manager) { m.onNewRevisions = f }
 }
 
-// NewManager returns a manager without links.
+// NewManager returns a Manager without links; its links use the given log.
 func NewManager(cfg Config, log *zerolog.Logger, opts ...Option) *Manager {
 	m := &Manager{
 		cfg: cfg, log: log,
@@ -138,15 +142,15 @@
 	return m
 }
 
-// Handle sets who answers peers; call it before Start.
+// Handle sets the handler of the requests of peers; it must be called before Start.
 func (m *Manager) Handle(h Handler) { m.handler = h }
 
-// Start listens for peers.
+// Start begins to accept connections from peers.
 func (m *Manager) Start(ctx context.Context) error {
 	var lc net.ListenConfig
 	l, err := lc.Listen(ctx, "tcp", m.cfg.Listen)
 	if err != nil {
-		return fault.Wrap(err, fault.Unavailable, m.cfg.Listen, "peers cannot be listened to")
+		return fault.Wrap(err, fault.Unavailable, m.cfg.Listen, "cannot listen for peers")
 	}
 	if m.cfg.TLS != nil {
 		l = tls.NewListener(l, m.cfg.TLS)
@@ -156,17 +160,18 @@
 	return nil
 }
 
-// Bytes returns how many bytes were read from and written to peers since the start.
+// Bytes returns the number of bytes read from and written to peers since the start.
 func (m *Manager) Bytes() uint64 { return m.bytes.Load() }
 
-// Links returns the number of dialed links and of accepted ones.
+// Links returns the number of dialed links and of accepted links.
 func (m *Manager) Links() (dialed, accepted int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.sessions), len(m.accepted)
 }
 
-// Stop waits for the work that peers have here, lets them close their links, and closes what is left.
+// Stop waits for the requests of peers that are being served, gives the peers time to close their links, and closes the
+// remaining ones.
 func (m *Manager) Stop(ctx context.Context) error {
 	m.closed.Store(true)
 	if m.listener != nil {
@@ -185,21 +190,22 @@
 	return err
 }
 
+// dialed returns the dialed links.
 func (m *Manager) dialed() []*Session {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return slices.Collect(maps.Values(m.sessions))
 }
 
-// waitClosed gives the peers, which know that this node leaves, the time of a few beats to read their last answers
-// and close: a link closed under unread bytes would lose the answers on their way.
+// awaitPeersClosed gives the peers, which know that this node drains, a few heartbeat intervals to read their last
+// answers and close their links: closing a link with unread bytes would lose the answers in transit.
 func (m *Manager) awaitPeersClosed(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, min(drainBeats*m.cfg.Heartbeat, maxDrainWait))
 	defer cancel()
 	m.awaitNoneAccepted(ctx)
 }
 
-// awaitNoneAccepted waits until peers have closed every link that they opened, as long as ctx allows.
+// awaitNoneAccepted waits until the peers have closed all links that they opened, or ctx ends.
 func (m *Manager) awaitNoneAccepted(ctx context.Context) {
 	for {
 		if _, accepted := m.Links(); accepted == 0 {
--- a/peer/news.go
+++ b/peer/news.go
@@ -9,26 +9,26 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// Leave tells every peer that this node takes nothing new.
+// AnnounceDraining notifies all connected peers that this node accepts no new requests.
 func (m *Manager) AnnounceDraining() {
 	m.draining.Store(true)
 	m.notifyPeers(func(string) bool { return true })
 }
 
-// Announce tells the connected peers of this hall the revisions in force; those of other halls, the links to which are
-// dear, hear of them by the next heartbeat.
+// Announce sets the revisions of the active configuration and notifies the connected peers of this hall. Peers in other
+// halls, to which bandwidth is expensive, learn the revisions from the next heartbeat.
 func (m *Manager) Announce(revisions table.Revisions) {
 	if old := m.revisions.Swap(&revisions); *old != revisions {
 		m.notifyPeers(func(hall string) bool { return hall == m.cfg.Hall })
 	}
 }
 
-// tell has a beat sent to the connected peers of some halls.
-func (m *Manager) notifyPeers(which func(hall string) bool) {
+// notifyPeers has a heartbeat sent now to the connected peers of the halls for which matches returns true.
+func (m *Manager) notifyPeers(matches func(hall string) bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for c, hall := range m.subscribers {
-		if !which(hall) {
+		if !matches(hall) {
 			continue
 		}
 		select {
@@ -38,7 +38,7 @@
 	}
 }
 
-// subscribe returns a channel that is told of news for peers of a hall.
+// subscribe returns a channel that receives a value when a heartbeat should be sent to a peer of the given hall.
 func (m *Manager) subscribe(hall string) chan struct{} {
 	c := make(chan struct{}, 1)
 	m.mu.Lock()
@@ -53,39 +53,41 @@
 	delete(m.subscribers, c)
 }
 
-// TellEnded tells at most so many connected peers, all of them below 0, of an endpoint that ended; it does not wait. Which ones is drawn: a
-// word that goes from hand to hand must not stay among neighbours.
-func (m *Manager) ReportCrash(word *peerpb.Ended, most int) {
+// ReportCrash sends the report of an endpoint's crash to at most maxPeers connected peers, to all of them if maxPeers is
+// negative; it does not wait. The peers are chosen at random: a report that is passed on from node to node must not
+// circulate among neighbours only.
+func (m *Manager) ReportCrash(report *peerpb.Ended, maxPeers int) {
 	sessions := m.dialed()
-	rand.Shuffle(len(sessions), func(i, j int) { sessions[i], sessions[j] = sessions[j], sessions[i] }) //nolint:gosec // spreads the word, no secret
-	if most >= 0 {
-		sessions = sessions[:min(most, len(sessions))]
+	rand.Shuffle(len(sessions), func(i, j int) { sessions[i], sessions[j] = sessions[j], sessions[i] }) //nolint:gosec // spreads reports, needs no secrecy
+	if maxPeers >= 0 {
+		sessions = sessions[:min(maxPeers, len(sessions))]
 	}
 	for _, s := range sessions {
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 			defer cancel()
-			// One that does not hear it hears of the row.
-			_, _ = s.call(ctx, &peerpb.Frame{Kind: &peerpb.Frame_Ended{Ended: word}})
+			// A peer that misses the report learns of the crash from the row of the poison request.
+			_, _ = s.call(ctx, &peerpb.Frame{Kind: &peerpb.Frame_Ended{Ended: report}})
 		}()
 	}
 }
 
-// tellTimeout bounds the telling of one peer: several round trips between regions.
+// reportTimeout bounds the report to one peer: several round trips between regions.
 const reportTimeout = 500 * time.Millisecond
 
-// heardBeat passes on that a peer shows a later revision of something.
+// handleBeat calls the revision hook if the heartbeat of a peer reports a newer revision of some source.
 func (m *Manager) handleBeat(peer string, b *peerpb.Beat) {
 	if r := revisionsOf(b.GetRevisions()); m.revisions.Load().Behind(r) {
 		m.onNewRevisions(peer, r)
 	}
 }
 
-// beat returns a beat that shows what this node holds.
+// beat returns a heartbeat with the revisions of this node and whether it drains.
 func (m *Manager) beat() *peerpb.Beat {
 	return &peerpb.Beat{Revisions: revisionsToWire(*m.revisions.Load()), Leaving: m.draining.Load()}
 }
 
+// revisionsOf decodes the revisions of a message.
 func revisionsOf(r *peerpb.Revisions) table.Revisions {
 	var out table.Revisions
 	out[table.PlaneRows] = r.GetRows()
@@ -96,6 +98,7 @@
 	return out
 }
 
+// revisionsToWire encodes revisions for a message.
 func revisionsToWire(r table.Revisions) *peerpb.Revisions {
 	return &peerpb.Revisions{
 		Rows: r[table.PlaneRows], Config: r[table.PlaneConfig], Hosts: r[table.PlaneHosts], Fatal: r[table.PlaneFatal],
--- a/peer/offer_test.go
+++ b/peer/offer_test.go
@@ -18,7 +18,7 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// syncBuffer is a log that may be written and read at once.
+// syncBuffer is a log that may be written and read concurrently.
 type syncBuffer struct {
 	mu  sync.Mutex
 	all bytes.Buffer
@@ -36,12 +36,13 @@
 	return b.all.String()
 }
 
-// offers is an egress that holds a slot for each dispatch and notes what it was told.
+// offers is an egress that offers a slot for each dispatch and sends on permitted whether the ingress permitted the run.
 type offers struct {
 	permitted chan bool
-	// before runs between the arrival of a dispatch and the offer of a slot.
+	// before is called between the arrival of a dispatch and the offer of a slot.
 	before func()
-	ends   map[uint64]*peerpb.End
+	// ends are the stored ends of exchanges, which Fetch returns.
+	ends map[uint64]*peerpb.End
 }
 
 func (o *offers) Serve(ctx context.Context, d *peerpb.Dispatch, _ io.Reader, sink Sink) *peerpb.End {
@@ -66,7 +67,7 @@
 func (o *offers) Fetch(_ context.Context, exchange uint64, sink Sink) *peerpb.End {
 	if end := o.ends[exchange]; end != nil {
 		_ = sink.Head(&peerpb.Head{Status: 200}, true)
-		_ = sink.Data([]byte("kept"), true)
+		_ = sink.Data([]byte("stored"), true)
 		return end
 	}
 	return Unknown(fault.LinkLost)
@@ -76,25 +77,26 @@
 
 func (*offers) HandleCrashReport(*peerpb.Ended) {}
 
-// Lend implements Handler.
+// GrantAllotment implements Handler.
 func (*offers) GrantAllotment(_ string, _ int) (int, time.Duration) { return 0, time.Second }
 
 func (*offers) Confirm(context.Context) (uint64, bool) { return 0, false }
 
 func (*offers) Deltas(table.Revisions, bool) []*peerpb.Delta { return nil }
 
+// startOffers starts a node with the handler o.
 func startOffers(t *testing.T, o *offers) (*Manager, string) {
 	t.Helper()
 	return startLogged(t, o, io.Discard)
 }
 
-// startLogged starts a node that logs to w.
+// startLogged starts a node with the handler o that logs to w.
 func startLogged(t *testing.T, o *offers, w io.Writer) (*Manager, string) {
 	t.Helper()
 	return startLoggedHandler(t, o, w)
 }
 
-// startHandler starts a node whose peers are served by h.
+// startHandler starts a node with the handler h.
 func startHandler(t *testing.T, h Handler) (*Manager, string) {
 	t.Helper()
 	return startLoggedHandler(t, h, io.Discard)
@@ -115,6 +117,7 @@
 	return m, m.listener.Addr().String()
 }
 
+// session returns the link to a peer.
 func session(t *testing.T, m *Manager, address string) *Session {
 	t.Helper()
 	s, err := m.Session(t.Context(), address)
@@ -124,14 +127,15 @@
 	return s
 }
 
+// offer sends an offer over a link and returns the end of its exchange.
 func offer(t *testing.T, ctx context.Context, s *Session, wait bool) *peerpb.End {
 	t.Helper()
 	d := &peerpb.Dispatch{RequestId: "q", BudgetMicros: 5e6, Exchange: 7, Wait: wait}
 	return s.Exchange(ctx, d, nil, &recordingSink{})
 }
 
-// TestOfferIsTaken checks that a request runs once its ingress has taken the slot.
-func TestOfferIsTaken(t *testing.T) {
+// TestPermittedOfferRuns checks that a request runs once its ingress has confirmed the offered slot.
+func TestPermittedOfferRuns(t *testing.T) {
 	o := &offers{permitted: make(chan bool, 1)}
 	_, address := startOffers(t, o)
 	m, _ := startOffers(t, o)
@@ -144,13 +148,14 @@
 	}
 }
 
-// TestSilentOfferIsNotRun checks that an egress which does not answer an offer in time gets no word later, and that the
-// request is told as not run: it may go elsewhere.
+// TestSilentOfferIsNotRun checks that an egress which does not answer an offer in time gets no Go frame later, and that
+// the request is reported as not run, so that it may be retried elsewhere.
 func TestSilentOfferIsNotRun(t *testing.T) {
 	release := make(chan struct{})
 	o := &offers{permitted: make(chan bool, 1), before: func() { <-release }}
 	_, address := startOffers(t, o)
-	// A suspicion ends with the next echo, which is asked for at once and may come before anybody looks: the log tells of it.
+	// The link is suspect only until the next echo, which is requested at once and may arrive before the test looks;
+	// therefore the test checks the log.
 	var log syncBuffer
 	m, _ := startLogged(t, o, &log)
 	end := offer(t, t.Context(), session(t, m, address), false)
@@ -158,7 +163,7 @@
 		t.Errorf("outcome: got %v, want %v", got, want)
 	}
 	if got, want := log.String(), fmt.Sprintf(`"event":%d`, events.LinkSuspect.Number); !strings.Contains(got, want) {
-		t.Errorf("link under suspicion: got log %q, want %s in it", got, want)
+		t.Errorf("suspect link: got log %q, want %s in it", got, want)
 	}
 	close(release)
 	if got, want := <-o.permitted, false; got != want {
@@ -166,7 +171,7 @@
 	}
 }
 
-// TestCanceledOfferIsNotRun checks that a caller that leaves while its request waits ends it as not run.
+// TestCanceledOfferIsNotRun checks that a request whose caller goes away while it waits for a slot ends as not run.
 func TestCanceledOfferIsNotRun(t *testing.T) {
 	waiting := make(chan struct{})
 	release := make(chan struct{})
@@ -188,15 +193,15 @@
 	}
 }
 
-// TestFetch checks that a kept answer is found on the direct way and through a third node, and that what the egress does
-// not know stays unknown.
+// TestFetch checks that a stored answer can be fetched directly and through a third node, and that the outcome of an
+// exchange that the egress does not know is unknown.
 func TestFetch(t *testing.T) {
 	whole := &peerpb.End{Outcome: peerpb.Outcome_OUTCOME_RAN, Complete: true}
 	_, address := startOffers(t, &offers{ends: map[uint64]*peerpb.End{7: whole}})
 	relay, relayAddress := startOffers(t, &offers{})
 	m, _ := startOffers(t, &offers{})
 	_ = relay
-	ways := map[string]func(exchange uint64, sink Sink) *peerpb.End{
+	fetches := map[string]func(exchange uint64, sink Sink) *peerpb.End{
 		"direct": func(exchange uint64, sink Sink) *peerpb.End {
 			return session(t, m, address).Fetch(t.Context(), exchange, sink)
 		},
@@ -204,16 +209,16 @@
 			return session(t, m, relayAddress).FetchVia(t.Context(), address, exchange, sink)
 		},
 	}
-	for name, fetch := range ways {
+	for name, fetch := range fetches {
 		k := &recordingSink{}
 		if got, want := fetch(7, k).GetOutcome(), peerpb.Outcome_OUTCOME_RAN; got != want {
 			t.Errorf("%s: outcome: got %v, want %v", name, got, want)
 		}
-		if got, want := string(k.body), "kept"; got != want {
+		if got, want := string(k.body), "stored"; got != want {
 			t.Errorf("%s: body: got %q, want %q", name, got, want)
 		}
 		if got, want := fetch(8, &recordingSink{}).GetOutcome(), peerpb.Outcome_OUTCOME_UNKNOWN; got != want {
-			t.Errorf("%s: of another exchange: got %v, want %v", name, got, want)
+			t.Errorf("%s: outcome of an unknown exchange: got %v, want %v", name, got, want)
 		}
 	}
 }
--- a/peer/pull_test.go
+++ b/peer/pull_test.go
@@ -9,7 +9,7 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// asked notes by which revisions it is asked for changes.
+// pullRecorder records the revisions from which changes are requested.
 type pullRecorder struct {
 	echoHandler
 	from table.Revisions
@@ -21,9 +21,9 @@
 	return nil
 }
 
-// TestAskersGetThePartsThatTheyKnow has nodes of older, this and later programs ask for changes: of parts that one does not know it gets
-// nothing.
-func TestAskersGetThePartsThatTheyKnow(t *testing.T) {
+// TestPullExcludesUnknownSources checks which sources are sent to nodes of older, the same and later versions of the
+// program: a node gets no changes of sources that it does not know.
+func TestPullExcludesUnknownSources(t *testing.T) {
 	for _, c := range []struct {
 		pull *peerpb.Pull
 		want int
@@ -34,14 +34,14 @@
 		{&peerpb.Pull{Fatal: true, Planes: 99}, table.PlaneCount},
 	} {
 		if got := knownSources(c.pull); got != c.want {
-			t.Errorf("parts known to %v: got %d, want %d", c.pull, got, c.want)
+			t.Errorf("sources known to the sender of %v: got %d, want %d", c.pull, got, c.want)
 		}
 	}
 }
 
-// TestOlderAskersGetNoFatalRows has a node of an older program ask for changes: rows of a kind that it does not know would make the whole
-// answer unreadable to it, its hosts included.
-func TestOlderAskersGetNoFatalRows(t *testing.T) {
+// TestPullOfOlderPeerExcludesPoisonRows checks the changes sent to a node of an older version of the program: rows of a
+// kind that it does not know would make the whole answer undecodable for it, including the hosts.
+func TestPullOfOlderPeerExcludesPoisonRows(t *testing.T) {
 	for _, knows := range []bool{true, false} {
 		here, there := net.Pipe()
 		go func() { _, _ = io.Copy(io.Discard, there) }()
@@ -50,10 +50,10 @@
 		m.servePull(here, &peerpb.Pull{From: &peerpb.Revisions{Rows: 3, Hosts: 5}, Fatal: knows})
 		_ = here.Close()
 		if got, want := a.from[table.PlaneFatal] == 0, knows; got != want {
-			t.Errorf("fatal rows for an asker that knows them %v: got %v, want %v", knows, got, want)
+			t.Errorf("poison requests for a peer that knows them (%v): got %v, want %v", knows, got, want)
 		}
 		if got, want := a.from[table.PlaneHosts], uint64(5); got != want {
-			t.Errorf("hosts asked from: got %d, want %d", got, want)
+			t.Errorf("revision of the hosts from which changes are requested: got %d, want %d", got, want)
 		}
 	}
 }
--- a/peer/reach.go
+++ b/peer/reach.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// outage is what is known of a peer that cannot be reached.
+// outage is the state of a peer that cannot be reached.
 type outage struct {
 	since time.Time
-	// askedAt is when somebody last wanted to send to the peer.
+	// wantedAt is when this node last wanted to send to the peer.
 	wantedAt time.Time
-	// next is when it is tried again, pause the time from then to the next time.
+	// retryAt is when the peer is dialed next, interval the time from then to the following attempt.
 	retryAt  time.Time
 	interval time.Duration
 }
 
 const (
-	// redialFirst is how soon a peer that cannot be reached is tried again, redialMost what that doubles up to. A node that is
-	// restarted is back within a second, and without trying again it was lost to every node of a large fleet that had met it
-	// meanwhile.
+	// initialRedialDelay is the delay before an unreachable peer is dialed again; it doubles up to maxRedialDelay. A node
+	// that restarts is back within a second; without redialing, it stayed unreachable for every node of a large fleet
+	// that had tried to reach it meanwhile.
 	initialRedialDelay = 250 * time.Millisecond
 	maxRedialDelay     = 4 * time.Second
-	// redialFor is how long after somebody wanted to send to it a peer is tried.
+	// redialWindow is how long an unreachable peer is dialed again after it was last wanted.
 	redialWindow = 2 * time.Second
 )
 
-// Unreachable returns since when a peer cannot be reached, the zero time for one that can or was not tried.
+// UnreachableSince returns since when a peer cannot be reached, or the zero time if it can be reached or was never tried.
 func (m *Manager) UnreachableSince(address string) time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -35,13 +35,14 @@
 	return time.Time{}
 }
 
-// heard notes that a peer can be reached, lost that it cannot.
+// markReachable records that a peer can be reached.
 func (m *Manager) markReachable(address string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.unreachable, address)
 }
 
+// markUnreachable records that a peer cannot be reached, and starts the redialing.
 func (m *Manager) markUnreachable(address string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -55,19 +56,19 @@
 	}
 }
 
-// redial tries the peers again that somebody wants to send to and that are due, and comes back while there are any.
+// redial dials the unreachable peers that are due, and runs again as long as any unreachable peer is wanted.
 func (m *Manager) redial() {
 	for _, address := range m.dueRedials(time.Now()) {
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 			defer cancel()
-			// The link's own events say that it is up, or why not.
+			// The events of the link report the result.
 			_, _ = m.Session(ctx, address)
 		}()
 	}
 }
 
-// dueRedials returns the peers to try now, and sees to the next time.
+// dueRedials returns the peers to dial now, and schedules the next run.
 func (m *Manager) dueRedials(now time.Time) []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -91,15 +92,15 @@
 	return due
 }
 
-// Linked tells whether there is a link to a peer, or one is being opened.
+// HasLink reports whether a link to a peer is open or being opened.
 func (m *Manager) HasLink(address string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.sessions[address] != nil || m.dialing[address] != nil
 }
 
-// Usable tells whether a peer may get new work as far as links show: one that cannot be reached may not until a link to it
-// is up again, one that was never tried may.
+// Usable reports whether a peer may get new requests, judged by the state of its link. An unreachable peer may not until
+// a link to it is up again; a peer that was never tried may.
 func (m *Manager) Usable(address string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -110,7 +111,7 @@
 	return !s.suspect.Load() && !s.draining.Load()
 }
 
-// Reached tells whether a link to a peer stands that is not under suspicion.
+// LinkHealthy reports whether a link to a peer is open and not suspect.
 func (m *Manager) LinkHealthy(address string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -118,7 +119,7 @@
 	return s != nil && !s.suspect.Load()
 }
 
-// Keep has a link to a peer opened, and keeps one that stands open while it carries nothing; it does not wait.
+// KeepOpen opens a link to a peer if there is none, and keeps it open while it is idle; it does not wait.
 func (m *Manager) KeepOpen(address string) {
 	m.mu.Lock()
 	s := m.sessions[address]
@@ -130,12 +131,13 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 		defer cancel()
-		// The link's own events say why a peer cannot be reached.
+		// The events of the link report why a peer cannot be reached.
 		_, _ = m.Pin(ctx, address)
 	}()
 }
 
-// missed tells whether a peer without a link cannot be reached, and has it tried again; the lock is held.
+// checkUnreachable reports whether a peer without a link is known to be unreachable, and if so has it dialed again. The
+// caller must hold m.mu.
 func (m *Manager) checkUnreachable(address string) bool {
 	o := m.unreachable[address]
 	if o == nil {
--- a/peer/sending.go
+++ b/peer/sending.go
@@ -10,50 +10,52 @@
 	"github.com/lynxplank/lynxplank/gen/peerpb"
 )
 
-// linkRetryAfter is when a request that found no link may come back.
+// linkRetryAfter is the delay after which a request that found no link may be retried.
 const linkRetryAfter = 500 * time.Millisecond
 
-// sending is the ingress's side of one exchange.
+// ingressExchange is the ingress's side of one exchange.
 type ingressExchange struct {
 	ctx    context.Context //nolint:containedctx // one exchange's life
 	s      *Session
 	stream net.Conn
 	stop   func() bool
-	// at is when the exchange began.
+	// startedAt is when the exchange began.
 	startedAt time.Time
-	// offered is set for an exchange that waits for a grant, handed once the request may run.
+	// offered is set for an exchange that waits for a grant, dispatched once the request may run.
 	offered    bool
 	dispatched bool
-	// withheld is set when the sink did not let the request be handed over.
+	// withheld is set if the sink did not allow the dispatch.
 	withheld bool
-	// credits is set where the peer waits to be told what the caller has read; read counts the bytes of which it was not told yet.
+	// flowControl is set if the peer sends only as much of the answer as it has credit for; uncredited counts the bytes
+	// that the caller has read and that were not yet reported to the peer as credit.
 	flowControl bool
 	uncredited  int
 }
 
 const (
-	// answerWindow is how much of an answer's body may be on its way unread, in bytes: with the delay between regions it lets a caller read
-	// 1.6 MB a second, and hundreds of callers that do not read cost a node little.
+	// answerWindow is how much of an answer's body may be sent before its caller reads it, in bytes: with the delay
+	// between regions a caller can read 1.6 MB a second, and hundreds of callers that do not read cost a node little.
 	answerWindow = 64 << 10
-	// creditStep is how much is read before the peer is told.
+	// creditStep is the number of bytes read after which the peer receives new credit.
 	creditStep = answerWindow / 2
 )
 
-// passOn hands a piece of the answer to the caller, and lets the peer send as much more.
+// forwardData passes a chunk of the answer to the sink, and grants the peer credit for as much more.
 func (x *ingressExchange) forwardData(sink Sink, b []byte) error {
 	if err := sink.Data(b, false); err != nil {
 		return err
 	}
 	if x.uncredited += len(b); x.flowControl && x.uncredited >= creditStep {
-		credit := &peerpb.Credit{Bytes: uint32(x.uncredited)} //nolint:gosec // at most the window and a piece
+		credit := &peerpb.Credit{Bytes: uint32(x.uncredited)} //nolint:gosec // at most the window and a chunk
 		x.uncredited = 0
-		// Where the word cannot be written the answer breaks off by itself.
+		// If the credit cannot be written, the link is broken and the next read of the answer fails.
 		_ = WriteFrame(x.stream, &peerpb.Frame{Kind: &peerpb.Frame_Credit{Credit: credit}})
 	}
 	return nil
 }
 
-// open opens a stream; an offer must be answered soon, if only by a word that it waits.
+// open opens a stream for an exchange. An offer must be answered within the offer timeout, at least by an Ack frame that
+// says that it waits.
 func (s *Session) open(ctx context.Context, offered bool) (*ingressExchange, *peerpb.End) {
 	stream, err := s.mux.OpenStream()
 	if err != nil {
@@ -68,19 +70,20 @@
 	return x, nil
 }
 
-// close ends the exchange on this side; a caller that gave up is told to the egress.
+// close ends the exchange on this side; for an offer whose context has ended it cancels the exchange at the egress.
 func (x *ingressExchange) close() {
 	x.stop()
 	x.s.finish(x.stream)
 	if x.ctx.Err() != nil && x.offered {
-		// The caller went away, or its time ran out: the egress need not go on. That this may not arrive harms nothing.
+		// The caller went away or its deadline passed, so the egress need not continue. It is harmless if this frame is
+		// lost.
 		_ = x.stream.SetWriteDeadline(time.Now().Add(x.s.offerTimeout()))
 		_ = WriteFrame(x.stream, &peerpb.Frame{Kind: &peerpb.Frame_Cancel{Cancel: &peerpb.Cancel{}}})
 	}
 	abandon(x.stream)
 }
 
-// broken is how the exchange ends when the stream says no more.
+// brokenEnd returns the end of the exchange after its stream broke.
 func (x *ingressExchange) brokenEnd() *peerpb.End {
 	switch {
 	case x.withheld:
@@ -93,7 +96,7 @@
 	return Unknown(lostCode(x.ctx))
 }
 
-// handOver gives the word that the request may run.
+// dispatch sends the Go frame, after which the request may run, and then the body.
 func (x *ingressExchange) dispatch(d *peerpb.Dispatch, body io.Reader, sink Sink) error {
 	if x.ctx.Err() != nil {
 		return fault.Wrap(x.ctx.Err(), ctxCode(x.ctx), "exchange", "caller went away")
@@ -109,7 +112,7 @@
 	return nil
 }
 
-// sendBody sends a body that did not go with the hand-over, beside the reading of the answer.
+// sendBody sends a body that is not part of the Dispatch or Go frame, concurrently with the reading of the answer.
 func (x *ingressExchange) sendBody(d *peerpb.Dispatch, body io.Reader) {
 	if d.GetBodyLength() == 0 {
 		return
@@ -121,8 +124,8 @@
 	}()
 }
 
-// receive reads frames until the exchange ends.
-func (x *ingressExchange) receive(sink Sink, handOver func() error) *peerpb.End {
+// receive reads frames until the exchange ends; it calls dispatch when an offer is granted.
+func (x *ingressExchange) receive(sink Sink, dispatch func() error) *peerpb.End {
 	r := NewFrameReader(x.stream)
 	for first := true; ; first = false {
 		f, err := r.Read()
@@ -134,11 +137,11 @@
 		switch k := f.GetKind().(type) {
 		case *peerpb.Frame_Ack:
 		case *peerpb.Frame_Grant:
-			if handOver == nil || x.dispatched {
+			if dispatch == nil || x.dispatched {
 				return Unknown(fault.Protocol)
 			}
 			x.flowControl = k.Grant.GetCredits()
-			if handOver() != nil {
+			if dispatch() != nil {
 				return x.brokenEnd()
 			}
 			reportDue(sink, k.Grant)
@@ -161,14 +164,14 @@
 	}
 }
 
-// tellDue passes on when an answer is due, if the grant says so.
+// reportDue passes the time within which an answer is due to the sink, if the grant contains it.
 func reportDue(sink Sink, g *peerpb.Grant) {
 	if due := g.GetDueMicros(); due > 0 {
 		sink.Due(time.Duration(due) * time.Microsecond)
 	}
 }
 
-// stopped is how the exchange ends when this side cannot go on with it.
+// sinkFailedEnd returns the end of the exchange after the sink returned an error.
 func (x *ingressExchange) sinkFailedEnd() *peerpb.End {
 	if !x.dispatched {
 		return NotRun(fault.Canceled, 0)
@@ -176,7 +179,8 @@
 	return Unknown(fault.Canceled)
 }
 
-// heard takes a frame as evidence about the link, the first one of an offer in both directions.
+// observeFrame handles a received frame as a proof that the link works; the first frame on an offer proves it in both
+// directions.
 func (x *ingressExchange) observeFrame(first bool) {
 	if !x.offered {
 		return
@@ -187,7 +191,7 @@
 	x.clearReadDeadline()
 }
 
-// patient takes the limit of the first frame away; the link's heartbeat judges from here on.
+// clearReadDeadline removes the timeout for the first frame; from then on the heartbeats of the link detect its failure.
 func (x *ingressExchange) clearReadDeadline() {
 	_ = x.stream.SetReadDeadline(time.Time{})
 	if x.ctx.Err() != nil {
@@ -195,12 +199,13 @@
 	}
 }
 
-// abandon closes our side, which the egress takes as a cancellation, and wakes our reader.
+// abandon closes this side of a stream and interrupts its reader. The peer's reader sees the end of the stream.
 func abandon(stream net.Conn) {
 	_ = stream.SetReadDeadline(time.Now())
 	_ = stream.Close()
 }
 
+// sendBody writes a body as Data frames, the last of which is marked.
 func sendBody(w io.Writer, body io.Reader) error {
 	buf := make([]byte, DataChunk)
 	for {
@@ -216,12 +221,12 @@
 			return nil
 		}
 		if err != nil {
-			return fault.Wrap(err, fault.BadRequest, "body", "caller's body broke off")
+			return fault.Wrap(err, fault.BadRequest, "body", "cannot read the caller's body")
 		}
 	}
 }
 
-// ctxCode says why an exchange ended whose context has ended.
+// ctxCode returns the fault code for an exchange whose context has ended.
 func ctxCode(ctx context.Context) fault.Code {
 	if ctx.Err() == context.DeadlineExceeded {
 		return fault.DeadlineExceeded
@@ -229,7 +234,7 @@
 	return fault.Canceled
 }
 
-// lostCode says why an exchange ended whose stream says no more.
+// lostCode returns the fault code for an exchange whose stream broke.
 func lostCode(ctx context.Context) fault.Code {
 	if ctx.Err() != nil {
 		return ctxCode(ctx)
--- a/peer/serve.go
+++ b/peer/serve.go
@@ -14,37 +14,41 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// Handler answers what peers ask of this node.
+// Handler serves the requests and messages of peers.
 type Handler interface {
 	// Serve runs a request at the endpoint beside this node and returns how it ended.
 	Serve(ctx context.Context, d *peerpb.Dispatch, body io.Reader, sink Sink) *peerpb.End
-	// Fetch returns how an exchange that was handed over here ended, once it has; one that was not never runs.
+	// Fetch returns the end of an exchange that was dispatched here, once it has ended, and passes its answer to sink. If
+	// the exchange was not dispatched before the call, it never runs.
 	Fetch(ctx context.Context, exchange uint64, sink Sink) *peerpb.End
-	// Settle notes how a claimed request ended elsewhere.
+	// Settle records, at an owner of an idempotency key, how the request that claimed the key ended on another node.
 	Settle(s *peerpb.Settle)
-	// Ended takes the word that an endpoint ended.
-	HandleCrashReport(word *peerpb.Ended)
-	// Confirm tells the newest version of the platform's configuration; false when that cannot be said now.
+	// HandleCrashReport handles the report that an endpoint crashed.
+	HandleCrashReport(report *peerpb.Ended)
+	// Confirm returns the newest version of the platform's configuration, and false if it cannot be determined now.
 	Confirm(ctx context.Context) (config uint64, known bool)
-	// Lend lends some requests of a customer's limit, or tells when there should be one.
+	// GrantAllotment grants up to want requests of a customer's rate limit; if it grants none, wait is the delay after
+	// which there should be one.
 	GrantAllotment(customer string, want int) (granted int, wait time.Duration)
-	// Deltas returns what leads from the asker's revisions to those in force, in parts that fit a frame; changesOnly tells
-	// whether the asker takes the hosts' changes alone.
+	// Deltas returns the changes from the peer's revisions to the active ones, in parts that each fit a frame;
+	// changesOnly is set if the peer accepts the changes of hosts without the full list.
 	Deltas(from table.Revisions, changesOnly bool) []*peerpb.Delta
 }
 
 const (
-	// firstFrameTimeout is how long a new stream may say nothing.
+	// firstFrameTimeout bounds the wait for the first frame of a new stream.
 	firstFrameTimeout = 5 * time.Second
-	// grantLife is how long a slot is held for an ingress that does not answer: several round trips between regions
-	// (20 ms one way), and little beside the work of a slot (50 to 300 ms).
+	// grantTimeout is how long a slot is held for an ingress that does not answer a grant: several round trips between
+	// regions (20 ms one way), and little compared with the time for which a request occupies a slot (50 to 300 ms).
 	grantTimeout = 150 * time.Millisecond
-	// mostBorrowed bounds what one question may ask for: a customer's requests at one node within a term, with room.
+	// maxAllotmentRequest bounds the allotment that one message may request: more than a customer's requests at one node
+	// within the allotment duration.
 	maxAllotmentRequest = 10000
-	// fetchLimit bounds how long a peer may wait here for an answer.
+	// fetchTimeout bounds how long a peer may wait here for the answer of an exchange.
 	fetchTimeout = 30 * time.Second
 )
 
+// serveStream serves one stream according to its first frame.
 func (m *Manager) serveStream(stream net.Conn, remote string) {
 	defer func() { _ = stream.Close() }()
 	r := NewFrameReader(stream)
@@ -65,6 +69,7 @@
 	}
 }
 
+// serveRequest serves a stream other than the control stream.
 func (m *Manager) serveRequest(stream net.Conn, r FrameReader, f *peerpb.Frame, remote string) {
 	switch k := f.GetKind().(type) {
 	case *peerpb.Frame_Dispatch:
@@ -88,20 +93,21 @@
 		m.handler.Settle(k.Settle)
 		_ = WriteFrame(stream, &peerpb.Frame{Kind: &peerpb.Frame_Ack{Ack: &peerpb.Ack{}}})
 	default:
-		m.logProtocolError(remote, fault.New(fault.Protocol, "stream", "unexpected first message"))
+		m.logProtocolError(remote, fault.New(fault.Protocol, "stream", "unexpected first frame on the stream"))
 	}
 }
 
-// garbled logs bytes of a peer that make no sense; a broken link is told by the link itself.
+// logProtocolError logs an error in what a peer sent. Other errors are failures of the link, which has events of its own.
 func (m *Manager) logProtocolError(remote string, err error) {
 	if fault.CodeOf(err) == fault.Protocol {
 		events.PeerGarbled.Log(m.log).Str("peer", remote).Err(err).Send()
 	}
 }
 
-// confirmServe bounds a peer's question for the newest configuration: it waits no longer itself.
+// confirmTimeout bounds the serving of a Confirm request: the requesting peer waits no longer than this.
 const confirmTimeout = 250 * time.Millisecond
 
+// serveConfirm answers with the newest version of the platform's configuration.
 func (m *Manager) serveConfirm(stream net.Conn) {
 	ctx, cancel := context.WithTimeout(context.Background(), confirmTimeout)
 	defer cancel()
@@ -110,7 +116,8 @@
 	_ = WriteFrame(stream, &peerpb.Frame{Kind: &peerpb.Frame_Confirmed{Confirmed: answer}})
 }
 
-// knownPlanes is how many planes the asker of a pull knows; of others it could read nothing.
+// knownSources returns the number of sources that the peer which sent a pull knows; it could not decode the rows of
+// others. An older peer sends no count but a flag, or neither.
 func knownSources(p *peerpb.Pull) int {
 	switch {
 	case p.GetPlanes() > 0:
@@ -121,10 +128,12 @@
 	return int(table.PlaneHosts) + 1
 }
 
+// servePull sends the changes that a peer lacks. The sources that it does not know get the highest revision, for which
+// there are no changes.
 func (m *Manager) servePull(stream net.Conn, p *peerpb.Pull) {
 	from := revisionsOf(p.GetFrom())
-	for plane := knownSources(p); plane < table.PlaneCount; plane++ {
-		from[plane] = math.MaxUint64
+	for source := knownSources(p); source < table.PlaneCount; source++ {
+		from[source] = math.MaxUint64
 	}
 	for _, d := range m.handler.Deltas(from, p.GetHostChanges()) {
 		if err := WriteFrame(stream, &peerpb.Frame{Kind: &peerpb.Frame_Delta{Delta: d}}); err != nil {
@@ -133,22 +142,24 @@
 	}
 }
 
-// serving is the egress's side of one exchange.
+// egressExchange is the egress's side of one exchange.
 type egressExchange struct {
 	*streamSink
-	// offer is the dispatch as it came, completed by the hand-over.
+	// offer is the dispatch as received, completed by the Go frame.
 	offer *peerpb.Dispatch
-	// goes takes the ingress's word that the request may run, gone is closed when the stream has ended.
+	// goFrames receives the ingress's Go frame, which lets the request run; streamEnded is closed when the stream has
+	// ended.
 	goFrames    chan *peerpb.Go
 	streamEnded chan struct{}
 	canceled    atomic.Bool
-	// ctx is the exchange's; credit is how much more of the answer's body may be sent, or unlimited; more wakes who waits for it.
+	// ctx is the exchange's context; credit is how many more bytes of the answer's body may be sent, or unlimited;
+	// creditAdded wakes the sender that waits for credit.
 	ctx         context.Context //nolint:containedctx // one exchange's life
 	credit      atomic.Int64
 	creditAdded chan struct{}
 }
 
-// Data implements Sink: it waits until the caller has read enough of what was sent before.
+// Data implements Sink; it waits until the caller has read enough of the earlier data.
 func (v *egressExchange) Data(b []byte, last bool) error {
 	for len(b) > 0 {
 		n, err := v.awaitCredit(len(b))
@@ -163,7 +174,7 @@
 	return nil
 }
 
-// awaitCredit returns how much of so many bytes may be sent, at least one.
+// awaitCredit waits for credit and uses it up; it returns how many of want bytes may be sent, at least one.
 func (v *egressExchange) awaitCredit(want int) (int, error) {
 	for {
 		credit := v.credit.Load()
@@ -177,14 +188,14 @@
 		select {
 		case <-v.creditAdded:
 		case <-v.streamEnded:
-			return 0, fault.New(fault.LinkLost, "answer", "link broke before its caller read it")
+			return 0, fault.New(fault.LinkLost, "answer", "link broke before the caller read the answer")
 		case <-v.ctx.Done():
-			return 0, fault.Wrap(v.ctx.Err(), ctxCode(v.ctx), "answer", "caller has not read it in time")
+			return 0, fault.Wrap(v.ctx.Err(), ctxCode(v.ctx), "answer", "caller did not read the answer in time")
 		}
 	}
 }
 
-// grant lets more of the answer be sent.
+// addCredit allows the given number of further bytes of the answer to be sent.
 func (v *egressExchange) addCredit(bytes uint32) {
 	if v.credit.Load() == unlimited {
 		return
@@ -196,6 +207,7 @@
 	}
 }
 
+// serveDispatch serves one request or offer.
 func (m *Manager) serveDispatch(stream net.Conn, r FrameReader, d *peerpb.Dispatch) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(d.GetBudgetMicros())*time.Microsecond)
 	defer cancel()
@@ -210,10 +222,10 @@
 		v.credit.Store(int64(credit))
 	}
 	go func() {
-		// The ingress closes its side when it gives up; its body ends with a last piece before that.
+		// The ingress closes its side when it gives up; a complete body ends before that, with a chunk marked as the last.
 		_ = pw.CloseWithError(v.receive(r, pw, d.GetBodyLength()))
 		close(v.streamEnded)
-		// What was handed over by an offer runs on when the link breaks: its answer can be fetched.
+		// A request that was dispatched through an offer keeps running when the link breaks: its answer can be fetched.
 		if d.GetExchange() == 0 || v.canceled.Load() {
 			cancel()
 		}
@@ -226,22 +238,23 @@
 	v.end(end)
 }
 
-// unlimited is the credit of an exchange whose ingress grants none.
+// unlimited is the credit of an exchange whose ingress does not use flow control.
 const unlimited = -1
 
-// unasked is the sink of an exchange whose ingress is not asked once more before the request runs.
+// noPermitSink hides the Permitter methods of the sink of an exchange that is not an offer, so that its request runs
+// without a grant.
 type noPermitSink struct {
 	Sink
 }
 
-// Waiting implements Permitter.
+// Queued implements Permitter.
 func (v *egressExchange) Queued() {
 	_ = v.put(&peerpb.Frame{Kind: &peerpb.Frame_Ack{Ack: &peerpb.Ack{}}}, false)
 }
 
 // Permit implements Permitter.
 //
-// Invariant: it returns true only after the ingress's word, and once it has returned false that word changes nothing.
+// Invariant: it returns true only after the ingress's Go frame, and once it has returned false a Go frame has no effect.
 func (v *egressExchange) Permit(ctx context.Context, load *peerpb.Load, due time.Duration) bool {
 	grant := &peerpb.Grant{Load: load, DueMicros: due.Microseconds(), Credits: v.credit.Load() != unlimited}
 	if v.put(&peerpb.Frame{Kind: &peerpb.Frame_Grant{Grant: grant}}, false) != nil {
@@ -260,7 +273,7 @@
 	return false
 }
 
-// receive reads the ingress's words and body, then waits for the stream's end and returns why it ended.
+// receive reads the ingress's frames and writes the request's body to w; it returns why the stream ended.
 func (v *egressExchange) receive(r FrameReader, w *io.PipeWriter, length int64) error {
 	open := length != 0
 	for {
@@ -273,7 +286,7 @@
 			select {
 			case v.goFrames <- k.Go:
 			default:
-				return fault.New(fault.Protocol, "stream", "handed over twice")
+				return fault.New(fault.Protocol, "stream", "request dispatched twice")
 			}
 		case *peerpb.Frame_Credit:
 			v.addCredit(k.Credit.GetBytes())
@@ -282,10 +295,10 @@
 			return fault.New(fault.Canceled, "stream", "caller went away")
 		case *peerpb.Frame_Data:
 			if !open {
-				return fault.New(fault.Protocol, "stream", "unexpected message in a body")
+				return fault.New(fault.Protocol, "stream", "data frame without or after a body")
 			}
 			if _, err := w.Write(k.Data.GetBytes()); err != nil {
-				// Nobody reads the body any more; what still comes of it is dropped, for the words behind it.
+				// The body has no reader any more; the rest of it is dropped, to reach the frames that follow it.
 				open = !k.Data.GetLast()
 				continue
 			}
@@ -294,12 +307,12 @@
 				_ = w.Close()
 			}
 		default:
-			return fault.New(fault.Protocol, "stream", "unexpected message in a body")
+			return fault.New(fault.Protocol, "stream", "unexpected frame in an exchange")
 		}
 	}
 }
 
-// serveFetch answers how an exchange ended; a peer that closes its side gives up.
+// serveFetch sends the end of an exchange, and its answer if there is one; it stops when the peer closes its side.
 func (m *Manager) serveFetch(stream net.Conn, r FrameReader, f *peerpb.Fetch) {
 	ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 	defer cancel()
@@ -312,7 +325,7 @@
 	sink.end(m.handler.Fetch(ctx, f.GetExchange(), sink))
 }
 
-// serveRelay passes a stream on to a peer and back, for two nodes that cannot reach each other.
+// serveRelay connects a stream to one on the link to another peer, for two nodes that cannot reach each other.
 func (m *Manager) serveRelay(stream net.Conn, r FrameReader, to *peerpb.Relay) {
 	ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 	defer cancel()
--- a/peer/session.go
+++ b/peer/session.go
@@ -21,50 +21,51 @@
 	address string
 	mux     *yamux.Session
 	conn    net.Conn
-	// suspect is set from the first doubt about the link to the next echo, leaving by the peer's own word, pinned while
-	// the link stays open without a request.
+	// suspect is set from the first sign that the link is cut until the next echo, draining as the peer reports, pinned
+	// if the link stays open while it is idle.
 	suspect  atomic.Bool
 	draining atomic.Bool
 	pinned   atomic.Bool
 	inFlight atomic.Int64
-	// usedAt is when the link last carried a request, in nanoseconds since 1970; roundTrip is that of the last echo, in
-	// nanoseconds.
+	// usedAt is when the last exchange on the link began, in nanoseconds since 1970; roundTrip is the time from the last
+	// heartbeat to its echo, in nanoseconds.
 	usedAt    atomic.Int64
 	roundTrip atomic.Int64
-	// busyAt is when the link last began to carry a request after it had carried none, provenAt when an offer was last made on
-	// it that its peer has answered, both in nanoseconds since 1970.
+	// busyAt is when an exchange last began on the idle link, answeredAt when the latest offer that the peer has answered
+	// was made, both in nanoseconds since 1970.
 	busyAt     atomic.Int64
 	answeredAt atomic.Int64
-	// urgent is set while a beat is wanted at once.
+	// urgent is set if a heartbeat is to be sent at once.
 	urgent atomic.Bool
-	// done is closed with the link; wake has the next heartbeat sent now.
+	// done is closed with the link; wake makes the control stream recompute the time of the next heartbeat.
 	done      chan struct{}
 	wake      chan struct{}
 	closeOnce sync.Once
 
 	mu sync.Mutex
-	// pending is the first beat without an echo, 0 for none; pendingAt is when it was sent.
+	// pending is the sequence number of the first heartbeat without an echo, 0 for none; pendingAt is when it was sent.
 	pending   uint64
 	pendingAt time.Time
-	// streams are the exchanges under way, which a link that turns suspect wakes.
+	// streams are the streams of offers in flight, which are interrupted when the link becomes suspect.
 	streams map[net.Conn]struct{}
 }
 
-// Limits of the first word on an offer: a few round trips, and time for a node that gets little of its processor.
+// Bounds of the timeout for the first frame on an offer: a few round trips, and time for a node that is short of CPU.
 const (
 	minOfferTimeout = 60 * time.Millisecond
 	maxOfferTimeout = 300 * time.Millisecond
-	// offerRounds is how many round trips of the link the word may take.
+	// offerRoundTrips is the number of round trips of the link that the first frame may take.
 	offerRoundTrips = 8
 )
 
-// offerLimit is how long the first word on an offer may take.
+// offerTimeout is how long the first frame on an offer may take.
 func (s *Session) offerTimeout() time.Duration {
 	return min(max(minOfferTimeout, offerRoundTrips*time.Duration(s.roundTrip.Load())), maxOfferTimeout)
 }
 
-// begin notes an exchange under way; only an offer's answer can be fetched by another way when the link turns suspect. The
-// heartbeat of a link that was idle is woken to watch it.
+// begin records the start of an exchange. Only the streams of offers are recorded for interruption, because only the
+// answer of an offer can be fetched over another link when this one becomes suspect. If the link was idle, the heartbeat
+// is woken to monitor it.
 func (s *Session) begin(stream net.Conn, offered bool) {
 	now := time.Now().UnixNano()
 	s.usedAt.Store(now)
@@ -79,7 +80,8 @@
 	}
 }
 
-// proved notes that the peer has answered an offer made at a time: both ways of the link carried it.
+// recordAnsweredOffer records that the peer has answered an offer made at the given time: the link works in both
+// directions. That clears a heartbeat without an echo that was sent before the offer.
 func (s *Session) recordAnsweredOffer(at time.Time) {
 	s.answeredAt.Store(at.UnixNano())
 	s.mu.Lock()
@@ -89,7 +91,7 @@
 	}
 }
 
-// finish notes that an exchange has ended.
+// finish records the end of an exchange.
 func (s *Session) finish(stream net.Conn) {
 	s.inFlight.Add(-1)
 	s.mu.Lock()
@@ -97,15 +99,16 @@
 	s.mu.Unlock()
 }
 
-// unanswered takes an exchange whose stream says no more as evidence about the link: it gets no new work until an echo.
+// suspectUnanswered marks the link as suspect if an offer was not answered before its stream failed: the link gets no new
+// requests until the next echo. An exchange whose context has ended or whose request was dispatched does not count.
 func (s *Session) suspectUnanswered(x *ingressExchange) {
 	if x.ctx.Err() != nil || !x.offered || x.dispatched {
 		return
 	}
-	s.markSuspect("offer without an answer")
+	s.markSuspect("offer not answered in time")
 }
 
-// doubt puts the link under suspicion.
+// markSuspect marks the link as suspect and has a heartbeat sent at once.
 func (s *Session) markSuspect(reason string) {
 	if !s.suspect.CompareAndSwap(false, true) {
 		return
@@ -116,7 +119,8 @@
 	s.beatNow()
 }
 
-// wakeStreams ends the exchanges under way on a link under suspicion; their answers are fetched by another way.
+// interruptStreams ends the offers in flight on a suspect link; the answers of dispatched requests are fetched over
+// another link.
 func (s *Session) interruptStreams() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -125,13 +129,13 @@
 	}
 }
 
-// nudge has the next heartbeat sent now.
+// beatNow has the next heartbeat sent at once.
 func (s *Session) beatNow() {
 	s.urgent.Store(true)
 	s.wakeBeat()
 }
 
-// wakeBeat has the heartbeat look at the link now.
+// wakeBeat makes the control stream check the link and recompute the time of the next heartbeat now.
 func (s *Session) wakeBeat() {
 	select {
 	case s.wake <- struct{}{}:
@@ -141,7 +145,7 @@
 
 func (s *Session) lastUse() time.Time { return time.Unix(0, s.usedAt.Load()) }
 
-// close ends the link; the streams on it end with it.
+// close closes the link and all streams on it.
 func (s *Session) close() {
 	s.closeOnce.Do(func() {
 		close(s.done)
@@ -151,18 +155,18 @@
 	})
 }
 
-// closeMux ends a session, its connection first: between a session's end and that of its connection yamux has the readers
-// of its streams look again and again without a pause.
+// closeMux closes a yamux session, its connection first: while a session is closed and its connection is not, yamux lets
+// the readers of the session's streams spin.
 func closeMux(c net.Conn, mux *yamux.Session) {
 	_ = c.Close()
 	_ = mux.Close()
 }
 
-// Pull asks the peer for every change after these revisions.
+// Pull asks the peer for all changes after the given revisions.
 func (s *Session) Pull(ctx context.Context, from table.Revisions) ([]*peerpb.Delta, error) {
 	stream, err := s.mux.OpenStream()
 	if err != nil {
-		return nil, fault.Wrap(err, fault.LinkDown, s.address, "stream cannot be opened")
+		return nil, fault.Wrap(err, fault.LinkDown, s.address, "cannot open a stream")
 	}
 	defer abandon(stream)
 	defer context.AfterFunc(ctx, func() { abandon(stream) })()
@@ -175,11 +179,11 @@
 	for {
 		f, err := r.Read()
 		if err != nil {
-			return nil, fault.Wrap(err, fault.LinkLost, s.address, "changes broke off")
+			return nil, fault.Wrap(err, fault.LinkLost, s.address, "link broke while changes were read")
 		}
 		d := f.GetDelta()
 		if d == nil {
-			return nil, fault.New(fault.Protocol, s.address, "want changes")
+			return nil, fault.New(fault.Protocol, s.address, "peer did not answer the pull with changes")
 		}
 		parts = append(parts, d)
 		if !d.GetMore() {
@@ -188,7 +192,8 @@
 	}
 }
 
-// Confirm asks the peer for the newest version of the platform's configuration; false when it cannot say.
+// Confirm asks the peer for the newest version of the platform's configuration; it returns false if the peer does not
+// know it or does not answer.
 func (s *Session) Confirm(ctx context.Context) (config uint64, known bool) {
 	f, err := s.call(ctx, &peerpb.Frame{Kind: &peerpb.Frame_Confirm{Confirm: &peerpb.Confirm{}}})
 	if err != nil {
@@ -197,35 +202,36 @@
 	return f.GetConfirmed().GetConfig(), f.GetConfirmed().GetKnown()
 }
 
-// Borrow asks the peer, as a home of a customer's limit, for some requests of it; an error when it does not answer.
+// RequestAllotment asks the peer, an owner of a customer's rate limit, for up to want requests of the limit. If it grants
+// none, wait is the delay after which there should be one.
 func (s *Session) RequestAllotment(ctx context.Context, customer string, want int) (granted int, wait time.Duration, err error) {
-	word := &peerpb.Borrow{Customer: customer, Want: uint32(want)} //nolint:gosec // a small number
-	f, err := s.call(ctx, &peerpb.Frame{Kind: &peerpb.Frame_Borrow{Borrow: word}})
+	msg := &peerpb.Borrow{Customer: customer, Want: uint32(want)} //nolint:gosec // a small number
+	f, err := s.call(ctx, &peerpb.Frame{Kind: &peerpb.Frame_Borrow{Borrow: msg}})
 	if err != nil {
 		return 0, 0, err
 	}
 	l := f.GetLent()
 	if l == nil || int(l.GetGranted()) > want {
-		return 0, 0, fault.New(fault.Protocol, s.address, "want a loan of what was asked for")
+		return 0, 0, fault.New(fault.Protocol, s.address, "peer did not answer with an allotment, or granted more than requested")
 	}
 	return int(l.GetGranted()), time.Duration(l.GetWaitMicros()) * time.Microsecond, nil
 }
 
-// ask says one word on a stream of its own and returns the peer's.
-func (s *Session) call(ctx context.Context, word *peerpb.Frame) (*peerpb.Frame, error) {
+// call sends one frame on a new stream and returns the frame with which the peer answers.
+func (s *Session) call(ctx context.Context, request *peerpb.Frame) (*peerpb.Frame, error) {
 	stream, err := s.mux.OpenStream()
 	if err != nil {
-		return nil, fault.Wrap(err, fault.LinkDown, s.address, "stream cannot be opened")
+		return nil, fault.Wrap(err, fault.LinkDown, s.address, "cannot open a stream")
 	}
 	defer abandon(stream)
 	defer context.AfterFunc(ctx, func() { abandon(stream) })()
-	if err := WriteFrame(stream, word); err != nil {
+	if err := WriteFrame(stream, request); err != nil {
 		return nil, err
 	}
 	return NewFrameReader(stream).Read()
 }
 
-// Settle tells the peer how a claimed request ended; LinkLost when that cannot be confirmed.
+// Settle reports to the peer how a claimed request ended. An error means that the peer may not have received the report.
 func (s *Session) Settle(ctx context.Context, msg *peerpb.Settle) error {
 	_, err := s.call(ctx, &peerpb.Frame{Kind: &peerpb.Frame_Settle{Settle: msg}})
 	return err
--- a/peer/sink.go
+++ b/peer/sink.go
@@ -9,8 +9,8 @@
 	"github.com/lynxplank/lynxplank/gen/peerpb"
 )
 
-// streamSink passes an answer to the ingress. What is known to be followed by more without a wait is held, so that a
-// short answer goes out in one write.
+// streamSink sends an answer to the ingress. A frame that is followed by another one without a wait is buffered, so that
+// a short answer is sent in one write.
 type streamSink struct {
 	stream   net.Conn
 	pooled   *[]byte
@@ -18,12 +18,13 @@
 	buffered []byte
 }
 
+// newStreamSink returns a sink that writes to stream, with a buffer from the pool.
 func newStreamSink(stream net.Conn) *streamSink {
 	p, _ := buffers.Get().(*[]byte)
 	return &streamSink{stream: stream, pooled: p, buffered: (*p)[:0]}
 }
 
-// put adds a frame and writes everything unless more follows soon.
+// put appends a frame to the buffer and writes the buffer unless another frame follows soon.
 func (s *streamSink) put(f *peerpb.Frame, soon bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -42,12 +43,12 @@
 	return writeAll(s.stream, b)
 }
 
-// Late implements Sink.
+// ReportOverdue implements Sink.
 func (s *streamSink) ReportOverdue() {
 	_ = s.put(&peerpb.Frame{Kind: &peerpb.Frame_Late{Late: &peerpb.Late{}}}, false)
 }
 
-// Due implements Sink; what is due later went with the grant.
+// Due implements Sink. Only a due time of 0 is sent: a later one was sent with the grant.
 func (s *streamSink) Due(in time.Duration) {
 	if in == 0 {
 		_ = s.put(&peerpb.Frame{Kind: &peerpb.Frame_Due{Due: &peerpb.Due{}}}, false)
@@ -72,10 +73,10 @@
 	return nil
 }
 
-// end closes the exchange.
+// end sends the end of the exchange and returns the buffer to the pool.
 //
-// Invariant: nothing is written or held after it. A late timer may still call the sink, and its buffer belongs to
-// another exchange by then.
+// Invariant: nothing is written or buffered after it. A timer that fires late may still call the sink, when the buffer
+// already belongs to another exchange.
 func (s *streamSink) end(e *peerpb.End) {
 	_ = s.put(&peerpb.Frame{Kind: &peerpb.Frame_End{End: e}}, false)
 	s.mu.Lock()
--- a/peer/sink_test.go
+++ b/peer/sink_test.go
@@ -10,7 +10,7 @@
 	"github.com/lynxplank/lynxplank/gen/peerpb"
 )
 
-// recorder is a stream that keeps what is written.
+// recorder is a stream that records the bytes written to it and counts the writes.
 type recorder struct {
 	net.Conn
 	writes int
@@ -24,7 +24,7 @@
 
 func (r *recorder) SetReadDeadline(time.Time) error { return nil }
 
-// TestShortAnswerIsOneWrite checks that a whole short answer goes out in one write, and in order.
+// TestShortAnswerIsOneWrite checks that a short answer is sent in one write, with its frames in order.
 func TestShortAnswerIsOneWrite(t *testing.T) {
 	r := &recorder{}
 	s := newStreamSink(r)
@@ -55,20 +55,20 @@
 	}
 }
 
-// TestSlowAnswerIsNotHeld checks that what is followed by a wait goes out at once.
-func TestSlowAnswerIsNotHeld(t *testing.T) {
+// TestSlowAnswerIsNotBuffered checks that a frame which is followed by a wait is sent at once.
+func TestSlowAnswerIsNotBuffered(t *testing.T) {
 	r := &recorder{}
 	s := newStreamSink(r)
 	_ = s.Head(&peerpb.Head{Status: 200}, false)
-	_ = s.Data([]byte("piece"), false)
+	_ = s.Data([]byte("chunk"), false)
 	if got, want := r.writes, 2; got != want {
 		t.Errorf("writes before the end: got %d, want %d", got, want)
 	}
 }
 
-// TestNothingAfterTheEnd checks that a timer that fires after the end reaches neither the stream nor the buffer, which
-// belongs to another exchange by then.
-func TestNothingAfterTheEnd(t *testing.T) {
+// TestNoWriteAfterEnd checks that a timer which fires after the end of an exchange writes neither to the stream nor to
+// the buffer, which may already belong to another exchange.
+func TestNoWriteAfterEnd(t *testing.T) {
 	r := &recorder{}
 	s := newStreamSink(r)
 	s.end(&peerpb.End{})
