--- a/peer/coalesce.go
+++ b/peer/coalesce.go
@@ -46,38 +46,38 @@
 
 // newCoalescingConn returns c with its writes coalesced.
 func newCoalescingConn(c net.Conn) *coalescingConn {
-	j := &coalescingConn{Conn: c}
-	j.timer = time.AfterFunc(time.Hour, j.flushOpening)
-	j.timer.Stop()
-	return j
+	w := &coalescingConn{Conn: c}
+	w.timer = time.AfterFunc(time.Hour, w.flushOpening)
+	w.timer.Stop()
+	return w
 }
 
 // Write implements net.Conn; buffered bytes count as written, as bytes in a socket buffer do.
-func (j *coalescingConn) Write(b []byte) (int, error) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if j.err != nil {
-		return 0, j.err
+func (w *coalescingConn) Write(b []byte) (int, error) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.err != nil {
+		return 0, w.err
 	}
-	hold := j.shouldHold(b)
-	if len(j.buffered) == 0 && !hold {
-		return j.Conn.Write(b)
+	hold := w.shouldHold(b)
+	if len(w.buffered) == 0 && !hold {
+		return w.Conn.Write(b)
 	}
-	j.buffered = append(j.buffered, b...)
+	w.buffered = append(w.buffered, b...)
 	if hold {
 		return len(b), nil
 	}
-	j.timer.Stop()
-	if err := j.flush(); err != nil {
+	w.timer.Stop()
+	if err := w.flush(); err != nil {
 		return 0, err
 	}
 	return len(b), nil
 }
 
 // shouldHold reports whether b is buffered, to be written together with the next write, and updates bodyLeft.
-func (j *coalescingConn) shouldHold(b []byte) bool {
-	if j.bodyLeft > 0 {
-		j.bodyLeft -= len(b)
+func (w *coalescingConn) shouldHold(b []byte) bool {
+	if w.bodyLeft > 0 {
+		w.bodyLeft -= len(b)
 		return false
 	}
 	if len(b) != muxHeader {
@@ -86,40 +86,40 @@
 	length := binary.BigEndian.Uint32(b[muxLengthAt:])
 	switch b[muxTypeAt] {
 	case muxData:
-		j.bodyLeft = int(length)
+		w.bodyLeft = int(length)
 		return length > 0
 	case muxWindowUpdate:
 		if binary.BigEndian.Uint16(b[muxFlagsAt:])&muxOpen == 0 {
 			return false
 		}
-		j.timer.Reset(holdLimit)
+		w.timer.Reset(holdLimit)
 		return true
 	}
 	return false
 }
 
-// flush writes the buffered bytes. The caller must hold j.mu.
-func (j *coalescingConn) flush() error {
-	_, err := j.Conn.Write(j.buffered)
-	j.buffered = j.buffered[:0]
-	if cap(j.buffered) > maxKeptBuffer {
-		j.buffered = nil
+// flush writes the buffered bytes. The caller must hold w.mu.
+func (w *coalescingConn) flush() error {
+	_, err := w.Conn.Write(w.buffered)
+	w.buffered = w.buffered[:0]
+	if cap(w.buffered) > maxKeptBuffer {
+		w.buffered = nil
 	}
 	return err
 }
 
 // flushOpening writes an opening of a stream after which no data followed yet; if a header waits for its body, the
 // opening is written together with that body.
-func (j *coalescingConn) flushOpening() {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if j.bodyLeft == 0 && len(j.buffered) > 0 {
-		j.err = j.flush()
+func (w *coalescingConn) flushOpening() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.bodyLeft == 0 && len(w.buffered) > 0 {
+		w.err = w.flush()
 	}
 }
 
 // Close implements net.Conn.
-func (j *coalescingConn) Close() error {
-	j.timer.Stop()
-	return j.Conn.Close()
+func (w *coalescingConn) Close() error {
+	w.timer.Stop()
+	return w.Conn.Close()
 }
--- a/peer/coalesce_test.go
+++ b/peer/coalesce_test.go
@@ -77,7 +77,7 @@
 
 // roundTripOnce writes a message and waits for its echo.
 func roundTripOnce(w io.Writer, r io.Reader) error {
-	if _, err := w.Write([]byte("word")); err != nil {
+	if _, err := w.Write([]byte("ping")); err != nil {
 		return err
 	}
 	got := make([]byte, 4)
@@ -107,8 +107,8 @@
 	if got, want := writesOfExchange(t, func(c net.Conn) net.Conn { return c }), int64(12); got != want {
 		t.Errorf("writes without coalescing: got %d, want %d", got, want)
 	}
-	if got, most := writesOfExchange(t, func(c net.Conn) net.Conn { return newCoalescingConn(c) }), int64(6); got > most {
-		t.Errorf("writes with coalescing: got %d, want at most %d", got, most)
+	if got, limit := writesOfExchange(t, func(c net.Conn) net.Conn { return newCoalescingConn(c) }), int64(6); got > limit {
+		t.Errorf("writes with coalescing: got %d, want at most %d", got, limit)
 	}
 }
 
--- a/peer/sending.go
+++ b/peer/sending.go
@@ -199,7 +199,8 @@
 	}
 }
 
-// abandon closes this side of a stream and interrupts its reader. The peer's reader sees the end of the stream.
+// abandon closes this side of a stream and interrupts its reader. The egress takes the end of the stream as a
+// cancellation, unless the request was dispatched through an offer: its answer can still be fetched.
 func abandon(stream net.Conn) {
 	_ = stream.SetReadDeadline(time.Now())
 	_ = stream.Close()
--- a/peer/serve.go
+++ b/peer/serve.go
@@ -41,8 +41,8 @@
 	// grantTimeout is how long a slot is held for an ingress that does not answer a grant: several round trips between
 	// regions (20 ms one way), and little compared with the time for which a request occupies a slot (50 to 300 ms).
 	grantTimeout = 150 * time.Millisecond
-	// maxAllotmentRequest bounds the allotment that one message may request: more than a customer's requests at one node
-	// within the allotment duration.
+	// maxAllotmentRequest bounds the allotment that one message may request; it exceeds the requests that a customer sends
+	// through one node within the allotment duration.
 	maxAllotmentRequest = 10000
 	// fetchTimeout bounds how long a peer may wait here for the answer of an exchange.
 	fetchTimeout = 30 * time.Second
@@ -295,7 +295,7 @@
 			return fault.New(fault.Canceled, "stream", "caller went away")
 		case *peerpb.Frame_Data:
 			if !open {
-				return fault.New(fault.Protocol, "stream", "data frame without or after a body")
+				return fault.New(fault.Protocol, "stream", "data frame for a request without a body, or after the end of its body")
 			}
 			if _, err := w.Write(k.Data.GetBytes()); err != nil {
 				// The body has no reader any more; the rest of it is dropped, to reach the frames that follow it.
--- a/peer/session.go
+++ b/peer/session.go
@@ -21,8 +21,8 @@
 	address string
 	mux     *yamux.Session
 	conn    net.Conn
-	// suspect is set from the first sign that the link is cut until the next echo, draining as the peer reports, pinned
-	// if the link stays open while it is idle.
+	// suspect is set from the first sign that the link is cut until the next echo, draining while the peer reports that it
+	// drains, and pinned if the link stays open while it is idle.
 	suspect  atomic.Bool
 	draining atomic.Bool
 	pinned   atomic.Bool
@@ -105,7 +105,7 @@
 	if x.ctx.Err() != nil || !x.offered || x.dispatched {
 		return
 	}
-	s.markSuspect("offer not answered in time")
+	s.markSuspect("offer not answered")
 }
 
 // markSuspect marks the link as suspect and has a heartbeat sent at once.
