--- a/node/node.go
+++ b/node/node.go
@@ -262,7 +262,7 @@
 }
 
 // Ended implements peer.Handler.
-func (h handler) HandleCrashReport(word *peerpb.Ended) { h.keeper.HandleReport(word) }
+func (h handler) HandlePoisonReport(word *peerpb.Ended) { h.keeper.HandleReport(word) }
 
 // Lend implements peer.Handler.
 func (h handler) GrantAllotment(customer string, want int) (granted int, wait time.Duration) {
--- a/peer/news.go
+++ b/peer/news.go
@@ -56,7 +56,7 @@
 // ReportCrash sends the report of an endpoint's crash to at most maxPeers connected peers, to all of them if maxPeers is
 // negative; it does not wait. The peers are chosen at random: a report that is passed on from node to node must not
 // circulate among neighbours only.
-func (m *Manager) ReportCrash(report *peerpb.Ended, maxPeers int) {
+func (m *Manager) SendPoisonReport(report *peerpb.Ended, maxPeers int) {
 	sessions := m.dialed()
 	rand.Shuffle(len(sessions), func(i, j int) { sessions[i], sessions[j] = sessions[j], sessions[i] }) //nolint:gosec // spreads reports, needs no secrecy
 	if maxPeers >= 0 {
--- a/peer/serve.go
+++ b/peer/serve.go
@@ -24,7 +24,7 @@
 	// Settle records, at an owner of an idempotency key, how the request that claimed the key ended on another node.
 	Settle(s *peerpb.Settle)
 	// HandleCrashReport handles the report that an endpoint crashed.
-	HandleCrashReport(report *peerpb.Ended)
+	HandlePoisonReport(report *peerpb.Ended)
 	// Confirm returns the newest version of the platform's configuration, and false if it cannot be determined now.
 	Confirm(ctx context.Context) (config uint64, known bool)
 	// GrantAllotment grants up to want requests of a customer's rate limit; if it grants none, wait is the delay after
@@ -87,7 +87,7 @@
 		lent := &peerpb.Lent{Granted: uint32(granted), WaitMicros: wait.Microseconds()} //nolint:gosec // bounded above
 		_ = WriteFrame(stream, &peerpb.Frame{Kind: &peerpb.Frame_Lent{Lent: lent}})
 	case *peerpb.Frame_Ended:
-		m.handler.HandleCrashReport(k.Ended)
+		m.handler.HandlePoisonReport(k.Ended)
 		_ = WriteFrame(stream, &peerpb.Frame{Kind: &peerpb.Frame_Ack{Ack: &peerpb.Ack{}}})
 	case *peerpb.Frame_Settle:
 		m.handler.Settle(k.Settle)
--- a/quarantine/keeper.go
+++ b/quarantine/keeper.go
@@ -32,7 +32,7 @@
 // Links are the node's links to its peers.
 type Links interface {
 	// TellEnded tells at most so many connected peers, all of them below 0, of an endpoint that ended; it does not wait.
-	ReportCrash(word *peerpb.Ended, most int)
+	SendPoisonReport(word *peerpb.Ended, most int)
 }
 
 // Config is the keeper's section of the settings.
@@ -135,7 +135,7 @@
 	k.known.lift(c, k.known.of(c))
 	k.publish()
 	k.poke()
-	k.links.ReportCrash(&peerpb.Ended{Contents: [][]byte{c[:]}, Ran: true}, -1)
+	k.links.SendPoisonReport(&peerpb.Ended{Contents: [][]byte{c[:]}, Ran: true}, -1)
 }
 
 // hearRan takes a peer's word that contents ran well, and passes on what of it is news.
@@ -157,7 +157,7 @@
 	if len(next.GetContents()) > 0 {
 		k.publish()
 		k.poke()
-		k.links.ReportCrash(next, passOn)
+		k.links.SendPoisonReport(next, passOn)
 	}
 }
 
@@ -177,7 +177,7 @@
 	k.publish()
 	k.mu.Unlock()
 	if len(word.GetContents()) > 0 {
-		k.links.ReportCrash(word, -1)
+		k.links.SendPoisonReport(word, -1)
 		k.poke()
 	}
 }
@@ -214,7 +214,7 @@
 	k.publish()
 	k.mu.Unlock()
 	if len(next.GetContents()) > 0 {
-		k.links.ReportCrash(next, passOn)
+		k.links.SendPoisonReport(next, passOn)
 	}
 }
 
--- a/quarantine/keeper_test.go
+++ b/quarantine/keeper_test.go
@@ -34,7 +34,7 @@
 }
 
 // TellEnded implements Links.
-func (e ear) ReportCrash(word *peerpb.Ended, most int) {
+func (e ear) SendPoisonReport(word *peerpb.Ended, most int) {
 	e.h.mu.Lock()
 	defer e.h.mu.Unlock()
 	e.h.words++
