--- a/peer/news.go
+++ b/peer/news.go
@@ -53,9 +53,10 @@
 	delete(m.subscribers, c)
 }
 
-// ReportCrash sends the report of an endpoint's crash to at most maxPeers connected peers, to all of them if maxPeers is
-// negative; it does not wait. The peers are chosen at random: a report that is passed on from node to node must not
-// circulate among neighbours only.
+// SendPoisonReport sends a report to at most maxPeers connected peers, to all of them if maxPeers is negative; it does
+// not wait. The report names an endpoint that crashed and the requests that it was running, or requests that ran well
+// elsewhere. The peers are chosen at random: a report that is passed on from node to node must not circulate among
+// neighbours only.
 func (m *Manager) SendPoisonReport(report *peerpb.Ended, maxPeers int) {
 	sessions := m.dialed()
 	rand.Shuffle(len(sessions), func(i, j int) { sessions[i], sessions[j] = sessions[j], sessions[i] }) //nolint:gosec // spreads reports, needs no secrecy
@@ -66,7 +67,7 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 			defer cancel()
-			// A peer that misses the report learns of the crash from the row of the poison request.
+			// A peer that misses the report learns its content from the rows of the poison requests.
 			_, _ = s.call(ctx, &peerpb.Frame{Kind: &peerpb.Frame_Ended{Ended: report}})
 		}()
 	}
--- a/peer/serve.go
+++ b/peer/serve.go
@@ -23,7 +23,7 @@
 	Fetch(ctx context.Context, exchange uint64, sink Sink) *peerpb.End
 	// Settle records, at an owner of an idempotency key, how the request that claimed the key ended on another node.
 	Settle(s *peerpb.Settle)
-	// HandleCrashReport handles the report that an endpoint crashed.
+	// HandlePoisonReport handles a report that an endpoint crashed while it ran some requests, or that requests ran well.
 	HandlePoisonReport(report *peerpb.Ended)
 	// Confirm returns the newest version of the platform's configuration, and false if it cannot be determined now.
 	Confirm(ctx context.Context) (config uint64, known bool)
