--- a/announce/announce_test.go
+++ b/announce/announce_test.go
@@ -19,8 +19,8 @@
 	t.Helper()
 	log := zerolog.Nop()
 	a := New(Config{
-		Host:  table.HostInfo{ID: "h1", Hall: "hall-1", Address: "127.0.0.1:1", Incarnation: incarnation},
-		Retry: 5 * time.Millisecond, Timeout: time.Second,
+		Host:          table.HostInfo{ID: "h1", Hall: "hall-1", Address: "127.0.0.1:1", Incarnation: incarnation},
+		RetryInterval: 5 * time.Millisecond, Timeout: time.Second,
 	}, &log, store.NewLocal(s))
 	if err := a.Start(t.Context()); err != nil {
 		t.Fatal(err)
--- a/configsync/follow_test.go
+++ b/configsync/follow_test.go
@@ -22,7 +22,7 @@
 	log := zerolog.Nop()
 	links := peer.NewManager(peer.Config{Node: "h1", Hall: "hall-1", Heartbeat: time.Second, EchoTimeout: time.Second}, &log)
 	f := New(Config{
-		Host: "h1", Hall: "hall-1", Retry: 5 * time.Millisecond, Wait: 200 * time.Millisecond, Readers: 2,
+		Host: "h1", Hall: "hall-1", RetryInterval: 5 * time.Millisecond, LongPollTimeout: 200 * time.Millisecond, Readers: 2,
 		Timeout: time.Second, WithConfig: true,
 	}, &log, store.NewLocal(s), links)
 	if err := f.Start(t.Context()); err != nil {
@@ -268,7 +268,7 @@
 		}
 		state = next
 	}
-	if got, want := state.Revisions()[table.PlaneConfig], uint64(7); got != want {
+	if got, want := state.Revisions()[table.SourceConfig], uint64(7); got != want {
 		t.Errorf("revision: got %d, want %d", got, want)
 	}
 	if r, ok := state.Match("x", "/a/"); ok {
--- a/egress/door.go
+++ b/egress/door.go
@@ -93,7 +93,7 @@
 	if now.Sub(l.arrivals.toldAt) < tellArrivalsEvery || a.Retries+a.RetriesRefused == 0 && a.CallsOfRetries == 0 {
 		return
 	}
-	events.FurtherSends.Log(log).Str("endpoint", l.key).Str("service", l.service).
+	events.RetryCounts.Log(log).Str("endpoint", l.key).Str("service", l.service).
 		Uint64("first", a.FirstSends).Uint64("further", a.Retries).Float64("of_further", a.CallsOfRetries).Uint64("spent", a.RetriesRefused).
 		Float64("left", l.retries.Remaining(now)).Float64("part", l.part).Dur("for", now.Sub(l.arrivals.toldAt)).Send()
 	l.arrivals.told, l.arrivals.toldAt = l.arrivals.Arrivals, now
--- a/egress/ended.go
+++ b/egress/ended.go
@@ -150,7 +150,7 @@
 		contents = append(contents, b.content)
 	}
 	leaving, service := e.leaves(l), l.serviceName()
-	events.EndpointEnded.Log(e.log).Str("endpoint", l.key).Str("service", service).Bool("leaving", leaving).
+	events.EndpointCrashed.Log(e.log).Str("endpoint", l.key).Str("service", service).Bool("leaving", leaving).
 		Array("work", list).Send()
 	if !leaving {
 		e.endings.EndedHere(l.key, service, contents)
--- a/egress/find.go
+++ b/egress/find.go
@@ -92,7 +92,7 @@
 // itself and that this life of the node has not heard of is not here: whatever the store shows of it may be old.
 func (e *Egress) here(d *peerpb.Dispatch) bool {
 	row, ok := e.state().Endpoint(d.GetEndpoint())
-	return ok && row.Plane != table.PlaneHosts && row.Value.Host == e.cfg.Host && row.Value.Service == d.GetService()
+	return ok && row.Source != table.SourceHosts && row.Value.Host == e.cfg.Host && row.Value.Service == d.GetService()
 }
 
 // notHere refuses a request for an endpoint that is not here, and names the one of its service that is: one that was started anew
--- a/egress/handover_test.go
+++ b/egress/handover_test.go
@@ -40,7 +40,7 @@
 	}{
 		"nothing":       {func(*Egress) {}, ""},
 		"drained":       {func(e *Egress) { e.state = at(t, address, table.Draining).state }, fault.Draining},
-		"configuration": {func(e *Egress) { e.configs.note(table.PlaneConfig, 2) }, fault.Stale},
+		"configuration": {func(e *Egress) { e.configs.note(table.SourceConfig, 2) }, fault.Stale},
 	} {
 		began.Store(0)
 		e := at(t, address, table.Active)
--- a/egress/keys.go
+++ b/egress/keys.go
@@ -83,7 +83,7 @@
 		return
 	}
 	k.seen = s.Revisions()
-	bounds := s.RegionBounds()
+	bounds := s.RegionRulesHash()
 	if bounds != k.bounds && k.ready {
 		clear(k.lists)
 		k.ready = false
--- a/egress/offer.go
+++ b/egress/offer.go
@@ -95,7 +95,7 @@
 func (e *Egress) logRefusal(l *local, d *peerpb.Dispatch, end *peerpb.End) {
 	line := events.OfferRefused.Log(e.log).Str("request", d.GetRequestId()).Str("endpoint", d.GetEndpoint()).
 		Str("service", d.GetService()).Str("code", end.GetCode()).Uint64("config", d.GetConfig()).
-		Uint64("holds", e.state().Revisions()[table.PlaneConfig]).Uint64("seen", e.configs.newest[table.PlaneConfig].Load())
+		Uint64("holds", e.state().Revisions()[table.SourceConfig]).Uint64("seen", e.configs.newest[table.SourceConfig].Load())
 	if l != nil {
 		line.Uint32("busy", end.GetLoad().GetBusy()).Uint32("queued", end.GetLoad().GetQueued()).
 			Uint32("slots", end.GetLoad().GetSlots()).Str("breaker", l.breakerState().String())
--- a/egress/stale_test.go
+++ b/egress/stale_test.go
@@ -22,14 +22,14 @@
 var paths = []string{"/a/1", "/a/b/1"}
 
 // drawRoutes returns the rows of a plane at a version of it.
-func drawRoutes(t *rapid.T, plane table.Plane, version uint64) []table.Row {
+func drawRoutes(t *rapid.T, plane table.Source, version uint64) []table.Row {
 	var rows []table.Row
 	add := func(kind table.Kind, key string, cells ...string) {
 		row, err := table.NewRow(kind, key, cells)
 		if err != nil {
 			t.Fatal(err)
 		}
-		row.Meta = table.Meta{Revision: version, Plane: plane}
+		row.Meta = table.Meta{Revision: version, Source: plane}
 		rows = append(rows, row)
 	}
 	add(table.KindService, "x")
@@ -47,7 +47,7 @@
 
 // fleetNode is a node's view of one plane of the table and what it has seen of newer versions of it.
 type fleetNode struct {
-	plane table.Plane
+	plane table.Source
 	state *table.State
 	seen  *seenConfig
 	// told are answers of other nodes that are under way, offers requests that wait here.
@@ -55,7 +55,7 @@
 	offers []*peerpb.Dispatch
 }
 
-func newFleetNode(plane table.Plane) *fleetNode {
+func newFleetNode(plane table.Source) *fleetNode {
 	return &fleetNode{plane: plane, state: table.NewState(), seen: &seenConfig{}}
 }
 
@@ -74,10 +74,10 @@
 		return nil
 	}
 	d := &peerpb.Dispatch{Route: r.Key, Service: r.Value.Service, Target: path}
-	if holder, ok := n.state.Holder(callersKey); ok {
+	if holder, ok := n.state.CustomerByKey(callersKey); ok {
 		d.Customer, d.Keyed = holder.Key, true
 	}
-	if n.plane == table.PlaneConfig {
+	if n.plane == table.SourceConfig {
 		d.Config = n.version()
 	} else {
 		d.Revision = n.version()
@@ -88,10 +88,10 @@
 // read brings the node to a version of the plane as it finds it in the store: a whole configuration, of which the store knows
 // no other, or the operators' rows, which carry the revisions of their changes.
 func (n *fleetNode) read(whole *table.State, rows []table.Row) {
-	if n.plane == table.PlaneConfig {
-		n.take(n.state.Read(n.plane, whole.Revisions()[n.plane], rows))
+	if n.plane == table.SourceConfig {
+		n.take(n.state.DeltaTo(n.plane, whole.Revisions()[n.plane], rows))
 	} else {
-		n.take(whole.Between(n.plane, n.version()))
+		n.take(whole.DeltaSince(n.plane, n.version()))
 	}
 }
 
@@ -100,12 +100,12 @@
 // it, however long these wait, and whoever is started anew meanwhile; of the platform's configuration and of the operators'
 // own rows.
 func TestNothingGoesByAnOlderConfiguration(t *testing.T) {
-	for _, plane := range []table.Plane{table.PlaneConfig, table.PlaneRows} {
+	for _, plane := range []table.Source{table.SourceConfig, table.SourceRows} {
 		t.Run(plane.String(), func(t *testing.T) { nothingGoesByAnOlder(t, plane) })
 	}
 }
 
-func nothingGoesByAnOlder(t *testing.T, plane table.Plane) {
+func nothingGoesByAnOlder(t *testing.T, plane table.Source) {
 	rapid.Check(t, func(t *rapid.T) {
 		var history []*table.State
 		newest := func() uint64 { return uint64(len(history)) }
@@ -115,7 +115,7 @@
 		allowed := func(d *peerpb.Dispatch, from uint64) bool {
 			return slices.ContainsFunc(history[from-1:], func(s *table.State) bool {
 				r, ok := s.Match("h", d.GetTarget())
-				_, held := s.Holder(callersKey)
+				_, held := s.CustomerByKey(callersKey)
 				return ok && r.Value.Service == d.GetService() && (held || !d.GetKeyed())
 			})
 		}
@@ -126,7 +126,7 @@
 				if newest() > 0 {
 					last = history[newest()-1]
 				}
-				whole, err := last.With(last.Read(plane, newest()+1, rows))
+				whole, err := last.With(last.DeltaTo(plane, newest()+1, rows))
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -139,7 +139,7 @@
 			},
 			func() { // A node asks another for what it lacks.
 				if n, other := node("asker"), node("asked"); other.version() > n.version() {
-					n.told = append(n.told, other.state.Between(plane, n.version()))
+					n.told = append(n.told, other.state.DeltaSince(plane, n.version()))
 				}
 			},
 			func() { // It gets the oldest answer that is under way.
--- a/peer/news.go
+++ b/peer/news.go
@@ -91,18 +91,18 @@
 // revisionsOf decodes the revisions of a message.
 func revisionsOf(r *peerpb.Revisions) table.Revisions {
 	var out table.Revisions
-	out[table.PlaneRows] = r.GetRows()
-	out[table.PlaneConfig] = r.GetConfig()
-	out[table.PlaneHosts] = r.GetHosts()
-	out[table.PlaneFatal] = r.GetFatal()
-	out[table.PlaneHalls] = r.GetHalls()
+	out[table.SourceRows] = r.GetRows()
+	out[table.SourceConfig] = r.GetConfig()
+	out[table.SourceHosts] = r.GetHosts()
+	out[table.SourcePoison] = r.GetFatal()
+	out[table.SourceHalls] = r.GetHalls()
 	return out
 }
 
 // revisionsToWire encodes revisions for a message.
 func revisionsToWire(r table.Revisions) *peerpb.Revisions {
 	return &peerpb.Revisions{
-		Rows: r[table.PlaneRows], Config: r[table.PlaneConfig], Hosts: r[table.PlaneHosts], Fatal: r[table.PlaneFatal],
-		Halls: r[table.PlaneHalls],
+		Rows: r[table.SourceRows], Config: r[table.SourceConfig], Hosts: r[table.SourceHosts], Fatal: r[table.SourcePoison],
+		Halls: r[table.SourceHalls],
 	}
 }
--- a/peer/serve.go
+++ b/peer/serve.go
@@ -121,18 +121,18 @@
 func knownSources(p *peerpb.Pull) int {
 	switch {
 	case p.GetPlanes() > 0:
-		return int(min(p.GetPlanes(), uint32(table.PlaneCount)))
+		return int(min(p.GetPlanes(), uint32(table.SourceCount)))
 	case p.GetFatal():
-		return int(table.PlaneFatal) + 1
+		return int(table.SourcePoison) + 1
 	}
-	return int(table.PlaneHosts) + 1
+	return int(table.SourceHosts) + 1
 }
 
 // servePull sends the changes that a peer lacks. The sources that it does not know get the highest revision, for which
 // there are no changes.
 func (m *Manager) servePull(stream net.Conn, p *peerpb.Pull) {
 	from := revisionsOf(p.GetFrom())
-	for source := knownSources(p); source < table.PlaneCount; source++ {
+	for source := knownSources(p); source < table.SourceCount; source++ {
 		from[source] = math.MaxUint64
 	}
 	for _, d := range m.handler.Deltas(from, p.GetHostChanges()) {
--- a/peer/session.go
+++ b/peer/session.go
@@ -170,7 +170,7 @@
 	}
 	defer abandon(stream)
 	defer context.AfterFunc(ctx, func() { abandon(stream) })()
-	ask := &peerpb.Pull{From: revisionsToWire(from), HostChanges: true, Fatal: true, Planes: uint32(table.PlaneCount)}
+	ask := &peerpb.Pull{From: revisionsToWire(from), HostChanges: true, Fatal: true, Planes: uint32(table.SourceCount)}
 	if err := WriteFrame(stream, &peerpb.Frame{Kind: &peerpb.Frame_Pull{Pull: ask}}); err != nil {
 		return nil, err
 	}
--- a/poison/fatal_test.go
+++ b/poison/fatal_test.go
@@ -39,7 +39,7 @@
 // TestEnds checks when a request is barred and when fewer ends are forgotten; a barred one never is.
 func TestEnds(t *testing.T) {
 	now := time.UnixMilli(1e12)
-	f := table.Fatal{}
+	f := table.PoisonRequest{}
 	for i, end := range []string{"a@1", "b@2", "b@2", "c@3"} {
 		f = WithCrashes(f, "desk", []string{end}, now)
 		if got, want := Blocked(f), i == 3; got != want {
@@ -57,7 +57,7 @@
 
 // TestRecords checks that a row comes back from the store as it was written, and that what no node writes is refused.
 func TestRecords(t *testing.T) {
-	f := WithCrashes(table.Fatal{}, "desk", []string{EndOf("e,1", time.UnixMilli(5)), "b@2"}, time.UnixMilli(7))
+	f := WithCrashes(table.PoisonRequest{}, "desk", []string{EndOf("e,1", time.UnixMilli(5)), "b@2"}, time.UnixMilli(7))
 	text, err := Encode(f)
 	if err != nil {
 		t.Fatal(err)
--- a/poison/record.go
+++ b/poison/record.go
@@ -40,7 +40,7 @@
 }
 
 // WithEnds returns what is known of a request after more endpoints have ended; each counts once.
-func WithCrashes(f table.Fatal, service string, ends []string, at time.Time) table.Fatal {
+func WithCrashes(f table.PoisonRequest, service string, ends []string, at time.Time) table.PoisonRequest {
 	list := f.Ends.List()
 	for _, end := range ends {
 		if len(list) < mostEnds && !slices.Contains(list, end) {
@@ -54,12 +54,12 @@
 }
 
 // Barred tells whether a request is kept from all endpoints.
-func Blocked(f table.Fatal) bool { return len(f.Ends.List()) >= BlockThreshold }
+func Blocked(f table.PoisonRequest) bool { return len(f.Ends.List()) >= BlockThreshold }
 
 // Forgotten tells whether what is known of a request no longer counts.
 //
 // Invariant: a request that is barred stays so until an operator lifts it.
-func Forgotten(f table.Fatal, now time.Time) bool {
+func Forgotten(f table.PoisonRequest, now time.Time) bool {
 	return !Blocked(f) && now.Sub(f.At.Time()) > ForgetAfter
 }
 
@@ -67,7 +67,7 @@
 func KeyOf(c Fingerprint) string { return KeyPrefix + c.String() }
 
 // Encode returns what the store keeps of a request.
-func Encode(f table.Fatal) ([]byte, error) {
+func Encode(f table.PoisonRequest) ([]byte, error) {
 	text, err := json.Marshal(record{Service: f.Service, Ends: f.Ends.List(), At: f.At})
 	if err != nil {
 		return nil, fault.Wrap(err, fault.Internal, f.Service, "row cannot be encoded")
@@ -76,24 +76,24 @@
 }
 
 // Decode reads what the store keeps of a request, BadRow for what no node has written.
-func Decode(rec platform.Record) (table.Fatal, error) {
+func Decode(rec platform.Record) (table.PoisonRequest, error) {
 	var r record
 	if err := json.Unmarshal(rec.Value, &r); err != nil {
-		return table.Fatal{}, fault.Wrap(err, fault.BadRow, rec.Key, "row cannot be read")
+		return table.PoisonRequest{}, fault.Wrap(err, fault.BadRow, rec.Key, "row cannot be read")
 	}
 	bad := func(name string) bool { return name == "" || strings.ContainsAny(name, ", \t\r\n/") }
 	if bad(r.Service) || len(r.Ends) == 0 || len(r.Ends) > mostEnds || slices.ContainsFunc(r.Ends, bad) {
-		return table.Fatal{}, fault.New(fault.BadRow, rec.Key, "want a service and the endpoints that ended")
+		return table.PoisonRequest{}, fault.New(fault.BadRow, rec.Key, "want a service and the endpoints that ended")
 	}
-	return table.Fatal{Service: r.Service, Ends: table.NamesOf(r.Ends), At: r.At}, nil
+	return table.PoisonRequest{Service: r.Service, Ends: table.NamesOf(r.Ends), At: r.At}, nil
 }
 
 // RowOf returns the row of a record of the store, or its removal; BadRow for what no node has written.
 func RowOf(rec platform.Record) (table.Row, error) {
 	key := strings.TrimPrefix(rec.Key, KeyPrefix)
-	meta := table.Meta{Version: rec.Version, Revision: rec.Version, Plane: table.PlaneFatal}
+	meta := table.Meta{Version: rec.Version, Revision: rec.Version, Source: table.SourcePoison}
 	if rec.Deleted {
-		return table.Row{Kind: table.KindFatal, Key: key, Meta: meta, Deleted: true}, nil
+		return table.Row{Kind: table.KindPoison, Key: key, Meta: meta, Deleted: true}, nil
 	}
 	if _, ok := ParseFingerprint(key); !ok {
 		return table.Row{}, fault.New(fault.BadRow, rec.Key, "want a content as the key")
@@ -102,5 +102,5 @@
 	if err != nil {
 		return table.Row{}, err
 	}
-	return table.Encode(table.KindFatal, key, meta, f), nil
+	return table.Encode(table.KindPoison, key, meta, f), nil
 }
--- a/quarantine/keeper.go
+++ b/quarantine/keeper.go
@@ -220,15 +220,15 @@
 
 // Observe takes a new snapshot in force.
 func (k *Tracker) Observe(snap *configsync.Snapshot) {
-	revision := snap.State.Revisions()[table.PlaneFatal]
+	revision := snap.State.Revisions()[table.SourcePoison]
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if revision == k.revision {
 		return
 	}
 	k.revision = revision
-	rows := make(map[poison.Fingerprint]table.Entry[table.Fatal])
-	snap.State.Fatals(func(e table.Entry[table.Fatal]) {
+	rows := make(map[poison.Fingerprint]table.Entry[table.PoisonRequest])
+	snap.State.PoisonRequests(func(e table.Entry[table.PoisonRequest]) {
 		if c, ok := poison.ParseFingerprint(e.Key); ok {
 			rows[c] = e
 		}
@@ -245,13 +245,13 @@
 	for c, n := range ends {
 		if n >= poison.BlockThreshold && old[c] < poison.BlockThreshold {
 			f := k.known.of(c)
-			events.RequestBarred.Log(k.log).Stringer("content", c).Str("service", f.Service).
+			events.RequestBlocked.Log(k.log).Stringer("content", c).Str("service", f.Service).
 				Strs("ends", f.Ends.List()).Time("at", f.At.Time()).Send()
 		}
 	}
 	for c, n := range old {
 		if _, ok := ends[c]; !ok && n >= poison.BlockThreshold {
-			events.RequestLifted.Log(k.log).Stringer("content", c).Send()
+			events.RequestUnblocked.Log(k.log).Stringer("content", c).Send()
 		}
 	}
 	k.ends.Store(&ends)
--- a/quarantine/keeper_test.go
+++ b/quarantine/keeper_test.go
@@ -78,7 +78,7 @@
 // show brings what the store holds to a keeper, as a snapshot in force does.
 func (h *hall) show(t *testing.T, k *Tracker) {
 	t.Helper()
-	d := table.Delta{Plane: table.PlaneFatal, Full: true, To: uint64(time.Now().UnixNano())}
+	d := table.Delta{Source: table.SourcePoison, Full: true, To: uint64(time.Now().UnixNano())}
 	for _, rec := range h.rows(t) {
 		row, err := poison.RowOf(rec)
 		if err != nil {
--- a/quarantine/known.go
+++ b/quarantine/known.go
@@ -15,7 +15,7 @@
 
 // heard is what is known of a content by word of this node or of its peers, besides its row.
 type heard struct {
-	table.Fatal
+	table.PoisonRequest
 	// since is when it was first heard of.
 	since time.Time
 }
@@ -24,7 +24,7 @@
 //
 // Invariant: a word that came once never counts again after its row was taken out: lifted is lifted.
 type known struct {
-	rows map[poison.Fingerprint]table.Entry[table.Fatal]
+	rows map[poison.Fingerprint]table.Entry[table.PoisonRequest]
 	word map[poison.Fingerprint]heard
 	// lifted are the ends that were taken out, oldest first in order.
 	lifted map[end]bool
@@ -39,7 +39,7 @@
 
 func newKnown() *known {
 	return &known{
-		rows: make(map[poison.Fingerprint]table.Entry[table.Fatal]), word: make(map[poison.Fingerprint]heard), lifted: make(map[end]bool),
+		rows: make(map[poison.Fingerprint]table.Entry[table.PoisonRequest]), word: make(map[poison.Fingerprint]heard), lifted: make(map[end]bool),
 	}
 }
 
@@ -56,7 +56,7 @@
 	if !ok {
 		h.since = now
 	}
-	h.Fatal = poison.WithCrashes(h.Fatal, service, []string{name}, at)
+	h.PoisonRequest = poison.WithCrashes(h.PoisonRequest, service, []string{name}, at)
 	k.word[c] = h
 	return true
 }
@@ -74,8 +74,8 @@
 }
 
 // of returns all that is known of a content; the ends that were lifted do not count, though its row may still be there.
-func (k *known) of(c poison.Fingerprint) table.Fatal {
-	row, word := k.rows[c].Value, k.word[c].Fatal
+func (k *known) of(c poison.Fingerprint) table.PoisonRequest {
+	row, word := k.rows[c].Value, k.word[c].PoisonRequest
 	if held := row.Ends.List(); slices.ContainsFunc(held, func(name string) bool { return k.lifted[end{c, name}] }) {
 		row.Ends = table.NamesOf(slices.DeleteFunc(held, func(name string) bool { return k.lifted[end{c, name}] }))
 	}
@@ -86,7 +86,7 @@
 }
 
 // show takes the rows in force.
-func (k *known) show(rows map[poison.Fingerprint]table.Entry[table.Fatal]) {
+func (k *known) show(rows map[poison.Fingerprint]table.Entry[table.PoisonRequest]) {
 	for c, row := range k.rows {
 		if _, ok := rows[c]; !ok {
 			k.lift(c, row.Value)
@@ -97,13 +97,13 @@
 }
 
 // tells tells whether a row holds all that was heard.
-func tells(row table.Fatal, h heard) bool {
+func tells(row table.PoisonRequest, h heard) bool {
 	held := row.Ends.List()
 	return !slices.ContainsFunc(h.Ends.List(), func(name string) bool { return !slices.Contains(held, name) })
 }
 
 // lift forgets a content for good, late words of these ends change nothing, and tells whether that is news.
-func (k *known) lift(c poison.Fingerprint, f table.Fatal) (news bool) {
+func (k *known) lift(c poison.Fingerprint, f table.PoisonRequest) (news bool) {
 	for _, name := range slices.Concat(f.Ends.List(), k.word[c].Ends.List()) {
 		e := end{c, name}
 		if !k.lifted[e] {
@@ -127,7 +127,7 @@
 
 // forget drops what no longer counts by word alone.
 func (k *known) forget(now time.Time) {
-	maps.DeleteFunc(k.word, func(_ poison.Fingerprint, h heard) bool { return poison.Forgotten(h.Fatal, now) })
+	maps.DeleteFunc(k.word, func(_ poison.Fingerprint, h heard) bool { return poison.Forgotten(h.PoisonRequest, now) })
 }
 
 // ends returns how many ends are known of each content.
--- a/quarantine/sim_test.go
+++ b/quarantine/sim_test.go
@@ -48,7 +48,7 @@
 	now    time.Duration
 	later  []simEvent
 	// store is the rows, away until when the store says nothing, stable since when it does.
-	store   map[poison.Fingerprint]table.Entry[table.Fatal]
+	store   map[poison.Fingerprint]table.Entry[table.PoisonRequest]
 	away    time.Duration
 	stable  time.Duration
 	version uint64
@@ -73,7 +73,7 @@
 
 func newSimFleet(random *rand.Rand, nodes int) *simFleet {
 	f := &simFleet{
-		random: random, store: make(map[poison.Fingerprint]table.Entry[table.Fatal]),
+		random: random, store: make(map[poison.Fingerprint]table.Entry[table.PoisonRequest]),
 		ends: make(map[poison.Fingerprint][]time.Duration), late: make(map[poison.Fingerprint]int),
 	}
 	for range nodes {
@@ -229,7 +229,7 @@
 }
 
 // show brings rows to a node once it can hear of them.
-func (f *simFleet) show(n *simNode, state uint64, rows map[poison.Fingerprint]table.Entry[table.Fatal]) {
+func (f *simFleet) show(n *simNode, state uint64, rows map[poison.Fingerprint]table.Entry[table.PoisonRequest]) {
 	if !f.reaches(n) || f.away > f.now {
 		wait := max(n.frozen, n.cut, f.away) - f.now
 		f.after(wait+time.Duration(f.random.Int64N(int64(simRow))), func() { f.show(n, state, rows) })
--- a/quarantine/write.go
+++ b/quarantine/write.go
@@ -43,7 +43,7 @@
 		}
 		again = nil
 		if err := k.write(ctx); err != nil {
-			events.FatalNotWritten.Log(k.log).Err(err).Send()
+			events.CrashesNotWritten.Log(k.log).Err(err).Send()
 			again = time.After(failing.Next())
 			continue
 		}
@@ -92,7 +92,7 @@
 type edit struct {
 	content poison.Fingerprint
 	// value is what is known of it, gone is set to take it out.
-	value table.Fatal
+	value table.PoisonRequest
 	gone  bool
 	// version is the row's as it is known here, 0 for none.
 	version uint64
@@ -198,7 +198,7 @@
 	for _, e := range edits {
 		delete(k.clear, e.content)
 		delete(k.own, e.content)
-		events.FatalWritten.Log(k.log).Stringer("content", e.content).Str("service", e.value.Service).
+		events.CrashesWritten.Log(k.log).Stringer("content", e.content).Str("service", e.value.Service).
 			Strs("ends", e.value.Ends.List()).Bool("taken_out", e.gone).Send()
 	}
 }
