--- a/peer/accept.go
+++ b/peer/accept.go
@@ -12,6 +12,7 @@
 	"github.com/lynxplank/lynxplank/fault"
 )
 
+// accept accepts connections from peers until the manager is closed, at most MaxConns at once.
 func (m *Manager) accept(l net.Listener) {
 	for {
 		c, err := l.Accept()
@@ -22,30 +23,30 @@
 			time.Sleep(m.cfg.Heartbeat)
 			continue
 		}
-		if m.inbound.Add(1) > int64(m.cfg.MaxConns) {
-			m.inbound.Add(-1)
+		if m.inboundConns.Add(1) > int64(m.cfg.MaxConns) {
+			m.inboundConns.Add(-1)
 			events.PeerRefused.Log(m.log).Str("peer", c.RemoteAddr().String()).Str("reason", "too many peers").Send()
 			_ = c.Close()
 			continue
 		}
-		go m.serveConn(counted{c, &m.bytes})
+		go m.serveConn(countingConn{c, &m.bytes})
 	}
 }
 
-// serveConn serves the streams of one link that a peer has opened.
+// serveConn serves the streams of one link that a peer opened, until the link ends.
 func (m *Manager) serveConn(c net.Conn) {
-	defer m.inbound.Add(-1)
+	defer m.inboundConns.Add(-1)
 	defer func() { _ = c.Close() }()
 	if err := handshake(c); err != nil {
 		events.PeerRefused.Log(m.log).Str("peer", c.RemoteAddr().String()).Err(err).Send()
 		return
 	}
-	mux, err := yamux.Server(newJoined(c), m.cfg.mux())
+	mux, err := yamux.Server(newCoalescingConn(c), m.cfg.mux())
 	if err != nil {
 		return
 	}
-	m.track(mux, c)
-	defer m.track(mux, nil)
+	m.trackAccepted(mux, c)
+	defer m.trackAccepted(mux, nil)
 	defer closeMux(c, mux)
 	for {
 		stream, err := mux.AcceptStream()
@@ -56,8 +57,9 @@
 	}
 }
 
+// handshake completes the TLS handshake of an accepted connection; without TLS it does nothing.
 func handshake(c net.Conn) error {
-	if inner, ok := c.(counted); ok {
+	if inner, ok := c.(countingConn); ok {
 		c = inner.Conn
 	}
 	t, ok := c.(*tls.Conn)
@@ -67,13 +69,13 @@
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
 	if err := t.HandshakeContext(ctx); err != nil {
-		return fault.Wrap(err, fault.Unauthorized, c.RemoteAddr().String(), "peer shows no valid certificate")
+		return fault.Wrap(err, fault.Unauthorized, c.RemoteAddr().String(), "TLS handshake failed: no valid peer certificate")
 	}
 	return nil
 }
 
-// track notes a link that a peer has opened, or with a nil connection that it has ended.
-func (m *Manager) track(mux *yamux.Session, c net.Conn) {
+// trackAccepted records a link that a peer opened, or, with a nil connection, removes a link that has ended.
+func (m *Manager) trackAccepted(mux *yamux.Session, c net.Conn) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if c != nil {
--- a/peer/control.go
+++ b/peer/control.go
@@ -8,41 +8,41 @@
 	"github.com/lynxplank/lynxplank/gen/peerpb"
 )
 
-// The heartbeats of one session. The dialer sends a beat every interval; the acceptor answers each one, and speaks up
-// by itself when its revision or its wish to leave changes. The dialer takes a link for cut when no beat has echoed
-// one of its last few: the way there or the way back may be the one that is cut.
+// The heartbeats of one session. The dialer sends a heartbeat every interval; the acceptor answers each one with an echo
+// of its sequence number, and sends a heartbeat of its own accord when its revisions change or it begins to drain. The
+// dialer suspects the link when the echo of a heartbeat takes longer than EchoTimeout: either direction may be cut.
 
 func beatFrame(b *peerpb.Beat) *peerpb.Frame {
 	return &peerpb.Frame{Kind: &peerpb.Frame_Beat{Beat: b}}
 }
 
-// serveControl is the acceptor's side.
+// serveControl runs the acceptor's side of a control stream until the stream ends.
 func (m *Manager) serveControl(stream net.Conn, r FrameReader, hello *peerpb.Hello) {
-	news := m.subscribe(hello.GetHall())
-	defer m.unsubscribe(news)
-	heard := make(chan uint64, 1)
+	changed := m.subscribe(hello.GetHall())
+	defer m.unsubscribe(changed)
+	received := make(chan uint64, 1)
 	go func() {
-		defer close(heard)
+		defer close(received)
 		for {
-			_ = stream.SetReadDeadline(time.Now().Add(m.cfg.acceptorLimit()))
+			_ = stream.SetReadDeadline(time.Now().Add(m.cfg.acceptorReadTimeout()))
 			f, err := r.Read()
 			if err != nil {
 				return
 			}
-			m.heardBeat(hello.GetNode(), f.GetBeat())
-			heard <- f.GetBeat().GetSequence()
+			m.handleBeat(hello.GetNode(), f.GetBeat())
+			received <- f.GetBeat().GetSequence()
 		}
 	}()
-	defer func() { _ = stream.SetReadDeadline(time.Now()); drain(heard) }()
+	defer func() { _ = stream.SetReadDeadline(time.Now()); discardAll(received) }()
 	var echo uint64
 	for {
 		select {
-		case seq, ok := <-heard:
+		case seq, ok := <-received:
 			if !ok {
 				return
 			}
 			echo = seq
-		case <-news:
+		case <-changed:
 		}
 		beat := m.beat()
 		beat.Echo = echo
@@ -52,11 +52,11 @@
 	}
 }
 
-// acceptorPatience is after how many times the limit of an echo a link is closed on which nothing is heard.
-const acceptorPatience = 10
+// closeFactor is the number of echo timeouts without a sign of life after which a link is closed.
+const closeFactor = 10
 
-// drain empties a channel, so that whoever fills it comes to its end.
-func drain(c <-chan uint64) {
+// discardAll reads and drops all values of a channel, so that its sender does not block and can finish.
+func discardAll(c <-chan uint64) {
 	go func() {
 		for range c {
 			continue
@@ -64,8 +64,8 @@
 	}()
 }
 
-// control is the dialer's side; it ends with the session.
-func (s *Session) control(stream net.Conn) {
+// runControl runs the dialer's side of the control stream and closes the session when it returns.
+func (s *Session) runControl(stream net.Conn) {
 	defer s.close()
 	hello := &peerpb.Hello{Node: s.m.cfg.Node, Hall: s.m.cfg.Hall, Incarnation: s.m.cfg.Incarnation}
 	if err := WriteFrame(stream, &peerpb.Frame{Kind: &peerpb.Frame_Hello{Hello: hello}}); err != nil {
@@ -77,7 +77,7 @@
 	for seq := uint64(1); ; seq++ {
 		beat := s.m.beat()
 		beat.Sequence = seq
-		s.sent(seq)
+		s.recordBeat(seq)
 		if err := WriteFrame(stream, beatFrame(beat)); err != nil {
 			return
 		}
@@ -87,10 +87,11 @@
 	}
 }
 
-// awaitBeat waits until the next beat after the one sent at a time is due; false when the link is done with.
+// awaitBeat waits until the heartbeat after the one sent at the given time is due. It returns false when the session
+// has ended or should be closed.
 func (s *Session) awaitBeat(sent time.Time, tick *time.Timer) bool {
 	for {
-		wait := s.untilBeat(sent, time.Now())
+		wait := s.timeToNextBeat(sent, time.Now())
 		if wait <= 0 {
 			return true
 		}
@@ -101,17 +102,18 @@
 		case <-s.wake:
 		case <-tick.C:
 		}
-		if !s.judge(time.Now()) {
+		if !s.checkLink(time.Now()) {
 			return false
 		}
 	}
 }
 
-// untilBeat is the time from now to the next beat. A link on which no request is under way beats slowly: an offer finds out at
-// once whether it is cut, and what its peer has to tell comes without being asked. On one that carries requests an answered
-// offer says what an echo would, so it beats only when none has been answered for a while.
-func (s *Session) untilBeat(sent, now time.Time) time.Duration {
-	idle := sent.Add(s.restFactor() * s.m.cfg.Heartbeat).Sub(now)
+// timeToNextBeat returns the time from now to the next heartbeat; the previous one was sent at the given time. A link
+// without in-flight requests sends heartbeats slowly: the next offer detects at once whether the link is cut, and the
+// peer reports changes unasked. On a link with in-flight requests an answered offer proves as much as an echo, so a
+// heartbeat is sent only when no offer has been answered for a while.
+func (s *Session) timeToNextBeat(sent, now time.Time) time.Duration {
+	idle := sent.Add(s.idleFactor() * s.m.cfg.Heartbeat).Sub(now)
 	switch {
 	case s.urgent.Swap(false):
 		return 0
@@ -120,32 +122,33 @@
 	case s.inFlight.Load() == 0:
 		return idle
 	}
-	last := max(sent.UnixNano(), s.busyAt.Load(), s.provenAt.Load())
+	last := max(sent.UnixNano(), s.busyAt.Load(), s.answeredAt.Load())
 	return min(idle, time.Unix(0, last).Add(s.m.cfg.Heartbeat).Sub(now))
 }
 
-// idleFactor is how many times the usual interval lies between the beats of an idle link that is kept for what its peer has to
-// tell, restFactor the same for one that only carries requests: those find out for themselves, and a node of a large fleet has
-// dozens, each beat of which wakes both ends.
+// pinnedIdleFactor multiplies the heartbeat interval on an idle link that is kept open for the peer's reports,
+// unpinnedIdleFactor on an idle link that only carries requests. The latter is larger because requests detect a cut
+// link themselves, and a node of a large fleet has dozens of such links, where each heartbeat wakes both ends.
 const (
-	idleFactor = 8
-	restFactor = 2 * idleFactor
+	pinnedIdleFactor   = 8
+	unpinnedIdleFactor = 2 * pinnedIdleFactor
 )
 
-// restFactor is the factor of this link.
-func (s *Session) restFactor() time.Duration {
+// idleFactor returns the factor by which the heartbeat interval grows while this link is idle.
+func (s *Session) idleFactor() time.Duration {
 	if s.pinned.Load() {
-		return idleFactor
+		return pinnedIdleFactor
 	}
-	return restFactor
+	return unpinnedIdleFactor
 }
 
-// acceptorLimit is how long the acceptor of a link hears nothing before it closes it: long enough for a frozen peer to come back
-// to its link, and for some beats of an idle one to be late.
-func (c Config) acceptorLimit() time.Duration {
-	return max(acceptorPatience*c.EchoTimeout, 2*restFactor*c.Heartbeat)
+// acceptorReadTimeout is how long the acceptor waits for a heartbeat before it closes the link: long enough for a frozen
+// peer to resume on the same link, and for several heartbeats of an idle link to be delayed.
+func (c Config) acceptorReadTimeout() time.Duration {
+	return max(closeFactor*c.EchoTimeout, 2*unpinnedIdleFactor*c.Heartbeat)
 }
 
+// listen reads the heartbeats of the acceptor until the control stream ends, then closes the session.
 func (s *Session) listen(r FrameReader) {
 	defer s.close()
 	for {
@@ -157,14 +160,14 @@
 		if beat == nil {
 			return
 		}
-		s.echoed(beat.GetEcho())
-		s.leaving.Store(beat.GetLeaving())
-		s.m.heardBeat(s.address, beat)
+		s.recordEcho(beat.GetEcho())
+		s.draining.Store(beat.GetLeaving())
+		s.m.handleBeat(s.address, beat)
 	}
 }
 
-// sent notes when a beat was sent, as long as an earlier one is not waiting for its echo.
-func (s *Session) sent(seq uint64) {
+// recordBeat records when a heartbeat was sent, unless an earlier one still waits for its echo.
+func (s *Session) recordBeat(seq uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.pending == 0 {
@@ -173,13 +176,15 @@
 	}
 }
 
-func (s *Session) echoed(seq uint64) {
+// recordEcho handles the echo of a heartbeat: it measures the round trip and ends a suspicion. An echo older than the
+// pending heartbeat is ignored.
+func (s *Session) recordEcho(seq uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.pending == 0 || seq < s.pending {
 		return
 	}
-	s.m.heard(s.address)
+	s.m.markReachable(s.address)
 	s.roundTrip.Store(int64(time.Since(s.pendingAt)))
 	s.pending = 0
 	if s.suspect.CompareAndSwap(true, false) {
@@ -187,8 +192,10 @@
 	}
 }
 
-// judge suspects a link without an echo and returns false when it should be closed.
-func (s *Session) judge(now time.Time) bool {
+// checkLink marks the link as suspect if an echo is overdue. It returns false if the link should be closed: if no echo
+// arrived for closeFactor times the echo timeout, or if it carries no request and either its peer drains or the link is
+// not pinned and was idle for the idle timeout.
+func (s *Session) checkLink(now time.Time) bool {
 	s.mu.Lock()
 	waiting := time.Duration(0)
 	if s.pending != 0 {
@@ -196,13 +203,13 @@
 	}
 	s.mu.Unlock()
 	if waiting > s.m.cfg.EchoTimeout {
-		s.doubt("no echo for " + waiting.String())
+		s.markSuspect("no echo for " + waiting.String())
 	}
-	if waiting > acceptorPatience*s.m.cfg.EchoTimeout {
+	if waiting > closeFactor*s.m.cfg.EchoTimeout {
 		return false
 	}
 	if s.inFlight.Load() > 0 {
 		return true
 	}
-	return !s.leaving.Load() && (s.pinned.Load() || now.Sub(s.lastUse()) < s.m.cfg.IdleTimeout)
+	return !s.draining.Load() && (s.pinned.Load() || now.Sub(s.lastUse()) < s.m.cfg.IdleTimeout)
 }
--- a/peer/link_test.go
+++ b/peer/link_test.go
@@ -21,10 +21,10 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// echo answers every dispatch with its own request id and body.
-type echo struct{}
+// echoHandler answers every dispatch with its request id and body.
+type echoHandler struct{}
 
-func (echo) Serve(_ context.Context, d *peerpb.Dispatch, body io.Reader, sink Sink) *peerpb.End {
+func (echoHandler) Serve(_ context.Context, d *peerpb.Dispatch, body io.Reader, sink Sink) *peerpb.End {
 	_ = sink.Head(&peerpb.Head{Status: 200}, true)
 	_ = sink.Data([]byte(d.GetRequestId()), true)
 	if d.GetBodyLength() != 0 {
@@ -36,26 +36,30 @@
 	return &peerpb.End{Outcome: peerpb.Outcome_OUTCOME_RAN, Complete: true}
 }
 
-func (echo) Fetch(context.Context, uint64, Sink) *peerpb.End { return Unknown("unknown_exchange") }
+func (echoHandler) Fetch(context.Context, uint64, Sink) *peerpb.End {
+	return Unknown("unknown_exchange")
+}
 
-func (echo) Settle(*peerpb.Settle) {}
+func (echoHandler) Settle(*peerpb.Settle) {}
 
-func (echo) HandlePoisonReport(*peerpb.Ended) {}
+func (echoHandler) HandlePoisonReport(*peerpb.Ended) {}
 
-// Lend implements Handler.
-func (echo) GrantAllotment(_ string, want int) (int, time.Duration) { return want - 1, 0 }
+// GrantAllotment implements Handler.
+func (echoHandler) GrantAllotment(_ string, want int) (int, time.Duration) { return want - 1, 0 }
 
-func (echo) Confirm(context.Context) (uint64, bool) { return 7, true }
+func (echoHandler) Confirm(context.Context) (uint64, bool) { return 7, true }
 
-func (echo) Deltas(table.Revisions, bool) []*peerpb.Delta { return []*peerpb.Delta{{To: 7}} }
+func (echoHandler) Deltas(table.Revisions, bool) []*peerpb.Delta { return []*peerpb.Delta{{To: 7}} }
 
-type kept struct{ body []byte }
+// recordingSink records the body of an answer.
+type recordingSink struct{ body []byte }
 
-func (*kept) ReportOverdue()                {}
-func (*kept) Due(time.Duration)             {}
-func (*kept) Head(*peerpb.Head, bool) error { return nil }
-func (k *kept) Data(b []byte, _ bool) error { k.body = append(k.body, b...); return nil }
+func (*recordingSink) ReportOverdue()                {}
+func (*recordingSink) Due(time.Duration)             {}
+func (*recordingSink) Head(*peerpb.Head, bool) error { return nil }
+func (k *recordingSink) Data(b []byte, _ bool) error { k.body = append(k.body, b...); return nil }
 
+// startManager starts a node whose handler is echoHandler, and returns it with its address.
 func startManager(t *testing.T, config *tls.Config) (*Manager, string) {
 	t.Helper()
 	log := zerolog.Nop()
@@ -63,7 +67,7 @@
 		Node: "n", Listen: "127.0.0.1:0", Heartbeat: 10 * time.Millisecond, EchoTimeout: 100 * time.Millisecond,
 		IdleTimeout: time.Minute, MaxConns: 10, TLS: config,
 	}, &log)
-	m.Handle(echo{})
+	m.Handle(echoHandler{})
 	if err := m.Start(t.Context()); err != nil {
 		t.Fatal(err)
 	}
@@ -71,6 +75,7 @@
 	return m, m.listener.Addr().String()
 }
 
+// exchange sends a request to a peer and returns its end and the body of its answer.
 func exchange(t *testing.T, m *Manager, address, id string) (*peerpb.End, string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
@@ -79,12 +84,12 @@
 	if err != nil {
 		return NotRun("link_down", 0), ""
 	}
-	k := &kept{}
+	k := &recordingSink{}
 	end := s.Exchange(ctx, &peerpb.Dispatch{RequestId: id, BudgetMicros: 1e6}, nil, k)
 	return end, string(k.body)
 }
 
-// authority signs certificates for the test's nodes.
+// authority returns a new certificate authority and a function that issues certificates for 127.0.0.1.
 func authority(t *testing.T) (*x509.CertPool, func() tls.Certificate) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -119,8 +124,8 @@
 	}
 }
 
-// TestMutualTLS checks that a peer with a certificate of the authority is served and that one with none, or with one
-// of another authority, is refused.
+// TestMutualTLS checks that a peer with a certificate of the configured authority is served and that a peer without a
+// certificate, or with one of another authority, is refused.
 func TestMutualTLS(t *testing.T) {
 	pool, issue := authority(t)
 	_, issueOther := authority(t)
@@ -136,7 +141,7 @@
 		client *tls.Config
 		want   peerpb.Outcome
 	}{
-		{"own authority", config(issue()), peerpb.Outcome_OUTCOME_RAN},
+		{"same authority", config(issue()), peerpb.Outcome_OUTCOME_RAN},
 		{"no certificate", config(), peerpb.Outcome_OUTCOME_UNKNOWN},
 		{"other authority", config(issueOther()), peerpb.Outcome_OUTCOME_UNKNOWN},
 	}
@@ -151,9 +156,9 @@
 	}
 }
 
-// TestOwnAnswer runs many exchanges at once over one link, some of them given up midway, and checks that each gets its
-// own answer.
-func TestOwnAnswer(t *testing.T) {
+// TestConcurrentExchangesGetOwnAnswers runs many exchanges concurrently over one link, some of which are canceled
+// midway, and checks that each of the others gets its own answer.
+func TestConcurrentExchangesGetOwnAnswers(t *testing.T) {
 	server, address := startManager(t, nil)
 	_ = server
 	m, _ := startManager(t, nil)
@@ -165,7 +170,7 @@
 				ctx, cancel := context.WithTimeout(context.Background(), time.Duration(i)*10*time.Microsecond)
 				defer cancel()
 				if s, err := m.Session(ctx, address); err == nil {
-					_ = s.Exchange(ctx, &peerpb.Dispatch{RequestId: "given up", BudgetMicros: 1e6}, nil, &kept{})
+					_ = s.Exchange(ctx, &peerpb.Dispatch{RequestId: "canceled", BudgetMicros: 1e6}, nil, &recordingSink{})
 				}
 				done <- ""
 				return
@@ -184,7 +189,7 @@
 	}
 }
 
-// TestLargeBodies sends bodies of known and unknown length, larger than a frame, through a link and back.
+// TestLargeBodies sends bodies larger than a frame, of known and of unknown length, over a link and back.
 func TestLargeBodies(t *testing.T) {
 	_, address := startManager(t, nil)
 	m, _ := startManager(t, nil)
@@ -195,7 +200,7 @@
 	body := bytes.Repeat([]byte("0123456789abcdef"), 3*MaxFrame/16)
 	for _, length := range []int64{int64(len(body)), -1} {
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
-		k := &kept{}
+		k := &recordingSink{}
 		d := &peerpb.Dispatch{RequestId: "id:", BudgetMicros: 1e7, BodyLength: length}
 		end := s.Exchange(ctx, d, bytes.NewReader(body), k)
 		cancel()
@@ -208,8 +213,8 @@
 	}
 }
 
-// TestGarbledPeer checks that unreadable bytes end their own stream or link and disturb nothing else.
-func TestGarbledPeer(t *testing.T) {
+// TestMalformedBytesFromPeer checks that malformed bytes end only the stream or link on which they arrive.
+func TestMalformedBytesFromPeer(t *testing.T) {
 	_, address := startManager(t, nil)
 	m, _ := startManager(t, nil)
 	if end, _ := exchange(t, m, address, "before"); end.GetOutcome() != peerpb.Outcome_OUTCOME_RAN {
@@ -231,14 +236,14 @@
 	}
 	_, _ = stream.Write([]byte("\xff\xff\xff\xff\xff\xff\xff\xff\xff\x7f garbage"))
 	if n, err := stream.Read(make([]byte, 1)); err == nil {
-		t.Errorf("garbled stream: got %d bytes, want its end", n)
+		t.Errorf("stream with malformed bytes: got %d bytes, want its end", n)
 	}
 	if end, got := exchange(t, m, address, "after"); end.GetOutcome() != peerpb.Outcome_OUTCOME_RAN || got != "after" {
 		t.Errorf("after: got %v %q, want its own answer", end, got)
 	}
 }
 
-// FuzzFrame reads arbitrary bytes as frames: an error at most, never a panic or an endless read.
+// FuzzFrame reads arbitrary bytes as frames: the result may be an error, but never a panic or an endless read.
 func FuzzFrame(f *testing.F) {
 	good := &recorder{}
 	_ = WriteFrame(good, &peerpb.Frame{Kind: &peerpb.Frame_Head{Head: &peerpb.Head{Status: 200}}})
@@ -257,6 +262,7 @@
 	})
 }
 
+// recorderReader reads from a byte slice.
 type recorderReader struct{ b []byte }
 
 func (r *recorderReader) Read(p []byte) (int, error) {
--- a/peer/serve.go
+++ b/peer/serve.go
@@ -14,44 +14,48 @@
 	"github.com/lynxplank/lynxplank/table"
 )
 
-// Handler answers what peers ask of this node.
+// Handler serves the requests and messages of peers.
 type Handler interface {
 	// Serve runs a request at the endpoint beside this node and returns how it ended.
 	Serve(ctx context.Context, d *peerpb.Dispatch, body io.Reader, sink Sink) *peerpb.End
-	// Fetch returns how an exchange that was handed over here ended, once it has; one that was not never runs.
+	// Fetch returns the end of an exchange that was dispatched here, once it has ended, and passes its answer to sink. If
+	// the exchange was not dispatched before the call, it never runs.
 	Fetch(ctx context.Context, exchange uint64, sink Sink) *peerpb.End
-	// Settle notes how a claimed request ended elsewhere.
+	// Settle records, at an owner of an idempotency key, how the request that claimed the key ended on another node.
 	Settle(s *peerpb.Settle)
-	// Ended takes the word that an endpoint ended.
-	HandlePoisonReport(word *peerpb.Ended)
-	// Confirm tells the newest version of the platform's configuration; false when that cannot be said now.
+	// HandlePoisonReport handles a report that an endpoint crashed while it ran some requests, or that requests ran well.
+	HandlePoisonReport(report *peerpb.Ended)
+	// Confirm returns the newest version of the platform's configuration, and false if it cannot be determined now.
 	Confirm(ctx context.Context) (config uint64, known bool)
-	// Lend lends some requests of a customer's limit, or tells when there should be one.
+	// GrantAllotment grants up to want requests of a customer's rate limit; if it grants none, wait is the delay after
+	// which there should be one.
 	GrantAllotment(customer string, want int) (granted int, wait time.Duration)
-	// Deltas returns what leads from the asker's revisions to those in force, in parts that fit a frame; changesOnly tells
-	// whether the asker takes the hosts' changes alone.
+	// Deltas returns the changes from the peer's revisions to the active ones, in parts that each fit a frame;
+	// changesOnly is set if the peer accepts the changes of hosts without the full list.
 	Deltas(from table.Revisions, changesOnly bool) []*peerpb.Delta
 }
 
 const (
-	// firstFrameTimeout is how long a new stream may say nothing.
+	// firstFrameTimeout bounds the wait for the first frame of a new stream.
 	firstFrameTimeout = 5 * time.Second
-	// grantLife is how long a slot is held for an ingress that does not answer: several round trips between regions
-	// (20 ms one way), and little beside the work of a slot (50 to 300 ms).
-	grantLife = 150 * time.Millisecond
-	// mostBorrowed bounds what one question may ask for: a customer's requests at one node within a term, with room.
-	mostBorrowed = 10000
-	// fetchLimit bounds how long a peer may wait here for an answer.
-	fetchLimit = 30 * time.Second
+	// grantTimeout is how long a slot is held for an ingress that does not answer a grant: several round trips between
+	// regions (20 ms one way), and little compared with the time for which a request occupies a slot (50 to 300 ms).
+	grantTimeout = 150 * time.Millisecond
+	// maxAllotmentRequest bounds the allotment that one message may request; it exceeds the requests that a customer sends
+	// through one node within the allotment duration.
+	maxAllotmentRequest = 10000
+	// fetchTimeout bounds how long a peer may wait here for the answer of an exchange.
+	fetchTimeout = 30 * time.Second
 )
 
+// serveStream serves one stream according to its first frame.
 func (m *Manager) serveStream(stream net.Conn, remote string) {
 	defer func() { _ = stream.Close() }()
 	r := NewFrameReader(stream)
 	_ = stream.SetReadDeadline(time.Now().Add(firstFrameTimeout))
 	f, err := r.Read()
 	if err != nil {
-		m.garbled(remote, err)
+		m.logProtocolError(remote, err)
 		return
 	}
 	_ = stream.SetReadDeadline(time.Time{})
@@ -59,13 +63,14 @@
 	case *peerpb.Frame_Hello:
 		m.serveControl(stream, r, k.Hello)
 	default:
-		m.working.Add()
-		defer m.working.Done()
-		m.serveWork(stream, r, f, remote)
+		m.requests.Add()
+		defer m.requests.Done()
+		m.serveRequest(stream, r, f, remote)
 	}
 }
 
-func (m *Manager) serveWork(stream net.Conn, r FrameReader, f *peerpb.Frame, remote string) {
+// serveRequest serves a stream other than the control stream.
+func (m *Manager) serveRequest(stream net.Conn, r FrameReader, f *peerpb.Frame, remote string) {
 	switch k := f.GetKind().(type) {
 	case *peerpb.Frame_Dispatch:
 		m.serveDispatch(stream, r, k.Dispatch)
@@ -78,7 +83,7 @@
 	case *peerpb.Frame_Confirm:
 		m.serveConfirm(stream)
 	case *peerpb.Frame_Borrow:
-		granted, wait := m.handler.GrantAllotment(k.Borrow.GetCustomer(), int(min(k.Borrow.GetWant(), mostBorrowed)))
+		granted, wait := m.handler.GrantAllotment(k.Borrow.GetCustomer(), int(min(k.Borrow.GetWant(), maxAllotmentRequest)))
 		lent := &peerpb.Lent{Granted: uint32(granted), WaitMicros: wait.Microseconds()} //nolint:gosec // bounded above
 		_ = WriteFrame(stream, &peerpb.Frame{Kind: &peerpb.Frame_Lent{Lent: lent}})
 	case *peerpb.Frame_Ended:
@@ -88,30 +93,32 @@
 		m.handler.Settle(k.Settle)
 		_ = WriteFrame(stream, &peerpb.Frame{Kind: &peerpb.Frame_Ack{Ack: &peerpb.Ack{}}})
 	default:
-		m.garbled(remote, fault.New(fault.Protocol, "stream", "unexpected first message"))
+		m.logProtocolError(remote, fault.New(fault.Protocol, "stream", "unexpected first frame on the stream"))
 	}
 }
 
-// garbled logs bytes of a peer that make no sense; a broken link is told by the link itself.
-func (m *Manager) garbled(remote string, err error) {
+// logProtocolError logs an error in what a peer sent. Other errors are failures of the link, which has events of its own.
+func (m *Manager) logProtocolError(remote string, err error) {
 	if fault.CodeOf(err) == fault.Protocol {
 		events.PeerGarbled.Log(m.log).Str("peer", remote).Err(err).Send()
 	}
 }
 
-// confirmServe bounds a peer's question for the newest configuration: it waits no longer itself.
-const confirmServe = 250 * time.Millisecond
+// confirmTimeout bounds the serving of a Confirm request: the requesting peer waits no longer than this.
+const confirmTimeout = 250 * time.Millisecond
 
+// serveConfirm answers with the newest version of the platform's configuration.
 func (m *Manager) serveConfirm(stream net.Conn) {
-	ctx, cancel := context.WithTimeout(context.Background(), confirmServe)
+	ctx, cancel := context.WithTimeout(context.Background(), confirmTimeout)
 	defer cancel()
 	config, known := m.handler.Confirm(ctx)
 	answer := &peerpb.Confirmed{Known: known, Config: config}
 	_ = WriteFrame(stream, &peerpb.Frame{Kind: &peerpb.Frame_Confirmed{Confirmed: answer}})
 }
 
-// knownPlanes is how many planes the asker of a pull knows; of others it could read nothing.
-func knownPlanes(p *peerpb.Pull) int {
+// knownSources returns the number of sources that the peer which sent a pull knows; it could not decode the rows of
+// others. An older peer sends no count but a flag, or neither.
+func knownSources(p *peerpb.Pull) int {
 	switch {
 	case p.GetPlanes() > 0:
 		return int(min(p.GetPlanes(), uint32(table.SourceCount)))
@@ -121,10 +128,12 @@
 	return int(table.SourceHosts) + 1
 }
 
+// servePull sends the changes that a peer lacks. The sources that it does not know get the highest revision, for which
+// there are no changes.
 func (m *Manager) servePull(stream net.Conn, p *peerpb.Pull) {
 	from := revisionsOf(p.GetFrom())
-	for plane := knownPlanes(p); plane < table.SourceCount; plane++ {
-		from[plane] = math.MaxUint64
+	for source := knownSources(p); source < table.SourceCount; source++ {
+		from[source] = math.MaxUint64
 	}
 	for _, d := range m.handler.Deltas(from, p.GetHostChanges()) {
 		if err := WriteFrame(stream, &peerpb.Frame{Kind: &peerpb.Frame_Delta{Delta: d}}); err != nil {
@@ -133,23 +142,25 @@
 	}
 }
 
-// serving is the egress's side of one exchange.
-type serving struct {
+// egressExchange is the egress's side of one exchange.
+type egressExchange struct {
 	*streamSink
-	// offer is the dispatch as it came, completed by the hand-over.
+	// offer is the dispatch as received, completed by the Go frame.
 	offer *peerpb.Dispatch
-	// goes takes the ingress's word that the request may run, gone is closed when the stream has ended.
-	goes     chan *peerpb.Go
-	gone     chan struct{}
-	canceled atomic.Bool
-	// ctx is the exchange's; credit is how much more of the answer's body may be sent, or unlimited; more wakes who waits for it.
-	ctx    context.Context //nolint:containedctx // one exchange's life
-	credit atomic.Int64
-	more   chan struct{}
+	// goFrames receives the ingress's Go frame, which lets the request run; streamEnded is closed when the stream has
+	// ended.
+	goFrames    chan *peerpb.Go
+	streamEnded chan struct{}
+	canceled    atomic.Bool
+	// ctx is the exchange's context; credit is how many more bytes of the answer's body may be sent, or unlimited;
+	// creditAdded wakes the sender that waits for credit.
+	ctx         context.Context //nolint:containedctx // one exchange's life
+	credit      atomic.Int64
+	creditAdded chan struct{}
 }
 
-// Data implements Sink: it waits until the caller has read enough of what was sent before.
-func (v *serving) Data(b []byte, last bool) error {
+// Data implements Sink; it waits until the caller has read enough of the earlier data.
+func (v *egressExchange) Data(b []byte, last bool) error {
 	for len(b) > 0 {
 		n, err := v.awaitCredit(len(b))
 		if err != nil {
@@ -163,8 +174,8 @@
 	return nil
 }
 
-// awaitCredit returns how much of so many bytes may be sent, at least one.
-func (v *serving) awaitCredit(want int) (int, error) {
+// awaitCredit waits for credit and uses it up; it returns how many of want bytes may be sent, at least one.
+func (v *egressExchange) awaitCredit(want int) (int, error) {
 	for {
 		credit := v.credit.Load()
 		if credit == unlimited {
@@ -175,50 +186,51 @@
 			return int(n), nil
 		}
 		select {
-		case <-v.more:
-		case <-v.gone:
-			return 0, fault.New(fault.LinkLost, "answer", "link broke before its caller read it")
+		case <-v.creditAdded:
+		case <-v.streamEnded:
+			return 0, fault.New(fault.LinkLost, "answer", "link broke before the caller read the answer")
 		case <-v.ctx.Done():
-			return 0, fault.Wrap(v.ctx.Err(), ctxCode(v.ctx), "answer", "caller has not read it in time")
+			return 0, fault.Wrap(v.ctx.Err(), ctxCode(v.ctx), "answer", "caller did not read the answer in time")
 		}
 	}
 }
 
-// grant lets more of the answer be sent.
-func (v *serving) grant(bytes uint32) {
+// addCredit allows the given number of further bytes of the answer to be sent.
+func (v *egressExchange) addCredit(bytes uint32) {
 	if v.credit.Load() == unlimited {
 		return
 	}
 	v.credit.Add(int64(bytes))
 	select {
-	case v.more <- struct{}{}:
+	case v.creditAdded <- struct{}{}:
 	default:
 	}
 }
 
+// serveDispatch serves one request or offer.
 func (m *Manager) serveDispatch(stream net.Conn, r FrameReader, d *peerpb.Dispatch) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(d.GetBudgetMicros())*time.Microsecond)
 	defer cancel()
 	pr, pw := io.Pipe()
 	defer func() { _ = pr.Close() }()
-	v := &serving{
-		streamSink: newStreamSink(stream), offer: d, goes: make(chan *peerpb.Go, 1), gone: make(chan struct{}),
-		ctx: ctx, more: make(chan struct{}, 1),
+	v := &egressExchange{
+		streamSink: newStreamSink(stream), offer: d, goFrames: make(chan *peerpb.Go, 1), streamEnded: make(chan struct{}),
+		ctx: ctx, creditAdded: make(chan struct{}, 1),
 	}
 	v.credit.Store(unlimited)
 	if credit := d.GetCredit(); credit > 0 {
 		v.credit.Store(int64(credit))
 	}
 	go func() {
-		// The ingress closes its side when it gives up; its body ends with a last piece before that.
+		// The ingress closes its side when it gives up; a complete body ends before that, with a chunk marked as the last.
 		_ = pw.CloseWithError(v.receive(r, pw, d.GetBodyLength()))
-		close(v.gone)
-		// What was handed over by an offer runs on when the link breaks: its answer can be fetched.
+		close(v.streamEnded)
+		// A request that was dispatched through an offer keeps running when the link breaks: its answer can be fetched.
 		if d.GetExchange() == 0 || v.canceled.Load() {
 			cancel()
 		}
 	}()
-	var sink Sink = unasked{v}
+	var sink Sink = noPermitSink{v}
 	if d.GetExchange() != 0 {
 		sink = v
 	}
@@ -226,42 +238,43 @@
 	v.end(end)
 }
 
-// unlimited is the credit of an exchange whose ingress grants none.
+// unlimited is the credit of an exchange whose ingress does not use flow control.
 const unlimited = -1
 
-// unasked is the sink of an exchange whose ingress is not asked once more before the request runs.
-type unasked struct {
+// noPermitSink hides the Permitter methods of the sink of an exchange that is not an offer, so that its request runs
+// without a grant.
+type noPermitSink struct {
 	Sink
 }
 
-// Waiting implements Permitter.
-func (v *serving) Queued() {
+// Queued implements Permitter.
+func (v *egressExchange) Queued() {
 	_ = v.put(&peerpb.Frame{Kind: &peerpb.Frame_Ack{Ack: &peerpb.Ack{}}}, false)
 }
 
 // Permit implements Permitter.
 //
-// Invariant: it returns true only after the ingress's word, and once it has returned false that word changes nothing.
-func (v *serving) Permit(ctx context.Context, load *peerpb.Load, due time.Duration) bool {
+// Invariant: it returns true only after the ingress's Go frame, and once it has returned false a Go frame has no effect.
+func (v *egressExchange) Permit(ctx context.Context, load *peerpb.Load, due time.Duration) bool {
 	grant := &peerpb.Grant{Load: load, DueMicros: due.Microseconds(), Credits: v.credit.Load() != unlimited}
 	if v.put(&peerpb.Frame{Kind: &peerpb.Frame_Grant{Grant: grant}}, false) != nil {
 		return false
 	}
-	timer := time.NewTimer(grantLife)
+	timer := time.NewTimer(grantTimeout)
 	defer timer.Stop()
 	select {
-	case rest := <-v.goes:
+	case rest := <-v.goFrames:
 		complete(v.offer, rest)
 		return true
-	case <-v.gone:
+	case <-v.streamEnded:
 	case <-ctx.Done():
 	case <-timer.C:
 	}
 	return false
 }
 
-// receive reads the ingress's words and body, then waits for the stream's end and returns why it ended.
-func (v *serving) receive(r FrameReader, w *io.PipeWriter, length int64) error {
+// receive reads the ingress's frames and writes the request's body to w; it returns why the stream ended.
+func (v *egressExchange) receive(r FrameReader, w *io.PipeWriter, length int64) error {
 	open := length != 0
 	for {
 		f, err := r.Read()
@@ -271,21 +284,21 @@
 		switch k := f.GetKind().(type) {
 		case *peerpb.Frame_Go:
 			select {
-			case v.goes <- k.Go:
+			case v.goFrames <- k.Go:
 			default:
-				return fault.New(fault.Protocol, "stream", "handed over twice")
+				return fault.New(fault.Protocol, "stream", "request dispatched twice")
 			}
 		case *peerpb.Frame_Credit:
-			v.grant(k.Credit.GetBytes())
+			v.addCredit(k.Credit.GetBytes())
 		case *peerpb.Frame_Cancel:
 			v.canceled.Store(true)
 			return fault.New(fault.Canceled, "stream", "caller went away")
 		case *peerpb.Frame_Data:
 			if !open {
-				return fault.New(fault.Protocol, "stream", "unexpected message in a body")
+				return fault.New(fault.Protocol, "stream", "data frame for a request without a body, or after the end of its body")
 			}
 			if _, err := w.Write(k.Data.GetBytes()); err != nil {
-				// Nobody reads the body any more; what still comes of it is dropped, for the words behind it.
+				// The body has no reader any more; the rest of it is dropped, to reach the frames that follow it.
 				open = !k.Data.GetLast()
 				continue
 			}
@@ -294,14 +307,14 @@
 				_ = w.Close()
 			}
 		default:
-			return fault.New(fault.Protocol, "stream", "unexpected message in a body")
+			return fault.New(fault.Protocol, "stream", "unexpected frame in an exchange")
 		}
 	}
 }
 
-// serveFetch answers how an exchange ended; a peer that closes its side gives up.
+// serveFetch sends the end of an exchange, and its answer if there is one; it stops when the peer closes its side.
 func (m *Manager) serveFetch(stream net.Conn, r FrameReader, f *peerpb.Fetch) {
-	ctx, cancel := context.WithTimeout(context.Background(), fetchLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 	defer cancel()
 	go func() {
 		_, _ = r.Read()
@@ -312,9 +325,9 @@
 	sink.end(m.handler.Fetch(ctx, f.GetExchange(), sink))
 }
 
-// serveRelay passes a stream on to a peer and back, for two nodes that cannot reach each other.
+// serveRelay connects a stream to one on the link to another peer, for two nodes that cannot reach each other.
 func (m *Manager) serveRelay(stream net.Conn, r FrameReader, to *peerpb.Relay) {
-	ctx, cancel := context.WithTimeout(context.Background(), fetchLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 	defer cancel()
 	s, err := m.Session(ctx, to.GetAddress())
 	if err != nil {
