--- a/node/stop.go
+++ b/node/stop.go
@@ -168,7 +168,7 @@
 	callers.Refuse()
 	abandon := time.AfterFunc(time.Until(n.grace.guaranteedEnd().Add(-unknownOutcomeLead)), g.AbandonRecoverable)
 	defer abandon.Stop()
-	for reported := false; ctx.Err() == nil && callers.Working() > 0; time.Sleep(stopPollInterval) {
+	for reported := false; ctx.Err() == nil && callers.InFlight() > 0; time.Sleep(stopPollInterval) {
 		if reported || time.Now().Before(n.grace.guaranteedEnd()) {
 			continue
 		}
@@ -194,7 +194,7 @@
 		events.RequestOutlasts.Log(n.log).Str("request", r.ID).Str("stage", string(r.Stage)).Str("endpoint", r.Endpoint).
 			Dur("after", r.Age).Send()
 	}
-	if behind := callers.Behind(); behind > 0 {
+	if behind := callers.Unstarted(); behind > 0 {
 		m.StopOutlasted(stageBehind, int64(behind))
 		events.RequestOutlasts.Log(n.log).Str("stage", stageBehind).Int("count", behind).Send()
 	}
