--- a/pipeline/conn.go
+++ b/pipeline/conn.go
@@ -15,64 +15,66 @@
 )
 
 const (
-	// mostAhead bounds the requests of one connection that were read and not answered yet.
-	mostAhead = 16
-	// lingerLimit is how long a connection that is closed with an answer on its way waits for its caller to close.
-	lingerLimit = 500 * time.Millisecond
+	// maxPending is the maximum number of requests of one connection that have been read but not answered yet.
+	maxPending = 16
+	// lingerTimeout is how long a connection waits, after its last answer has been written, for its caller to close it.
+	lingerTimeout = 500 * time.Millisecond
 )
 
-// conn is one caller's connection. The goroutine of serve reads; each request has a goroutine of its own; answers are
-// written in the order of the requests. This file holds its life and that order, request.go the reading.
+// conn is a caller's connection. One goroutine, which runs serve, reads the requests; each request is handled in a
+// goroutine of its own; answers are written in the order of the requests. This file contains the connection's lifecycle
+// and the order of its answers, request.go the reading of requests.
 type conn struct {
 	s   *Server
 	raw net.Conn
-	// limit bounds what r takes from raw for one request.
+	// limit bounds the bytes that r reads from raw for one request.
 	limit  *limitedReader
 	r      *bufio.Reader
-	ctx    context.Context //nolint:containedctx // the connection's life
+	ctx    context.Context //nolint:containedctx // it lasts as long as the connection
 	cancel context.CancelCauseFunc
 
 	mu sync.Mutex
-	// ahead are the requests not answered yet, in order.
-	ahead []*exchange
-	// answered is when the last request was, or when the connection began.
-	answered time.Time
-	// last is set once an answer that closes the connection has been begun, or the connection has ended.
-	last bool
-	// lingers is set once it only waits for its caller to close.
+	// pending holds the requests that have been read but not answered yet, in the order in which they were read.
+	pending []*exchange
+	// lastAnswered is the time of the latest answer's end, or of the connection's start if there was no answer yet.
+	lastAnswered time.Time
+	// closing is set once the answer that closes the connection has been started, or the connection has been closed.
+	closing bool
+	// lingers is set once the connection only waits for its caller to close it.
 	lingers bool
-	// room is signaled when an answered request has left ahead, or the connection has ended.
-	room *sync.Cond
+	// pendingFreed is signaled when an answered request is removed from pending, or the connection is closed.
+	pendingFreed *sync.Cond
 }
 
 func newConn(s *Server, raw net.Conn) *conn {
-	c := &conn{s: s, raw: raw, answered: time.Now(), limit: &limitedReader{r: raw}}
+	c := &conn{s: s, raw: raw, lastAnswered: time.Now(), limit: &limitedReader{r: raw}}
 	c.r = bufio.NewReaderSize(c.limit, readBuffer)
-	c.room = sync.NewCond(&c.mu)
+	c.pendingFreed = sync.NewCond(&c.mu)
 	c.ctx, c.cancel = context.WithCancelCause(context.Background())
 	return c
 }
 
-// errGone is why a request is canceled when its caller has left.
-var errGone = fault.New(fault.Canceled, "connection", "caller went away")
+// errCallerGone is the cause with which requests are canceled when their caller has closed the connection.
+var errCallerGone = fault.New(fault.Canceled, "connection", "caller went away")
 
-// serve reads requests until the connection takes no more, then waits for the caller to leave.
+// serve reads requests until the connection accepts no more, then waits for the caller to close it.
 func (c *conn) serve() {
 	for c.serveNext() {
 		continue
 	}
-	// What comes now belongs to no request; that nothing comes any more shows that the caller has left.
+	// Bytes that arrive from here on belong to no request and are discarded; the end of the stream shows that the caller
+	// has closed the connection.
 	_, _ = io.Copy(io.Discard, c.raw)
-	c.end(errGone)
+	c.close(errCallerGone)
 }
 
-// serveNext reads one request and has it handled; false when the connection takes no more.
+// serveNext reads one request and dispatches it to the handler. It returns false when the connection accepts no more.
 func (c *conn) serveNext() bool {
 	limits := c.s.limits()
 	if !c.awaitRequest(limits) {
 		return false
 	}
-	req, hold, status, bad := c.readRequest(limits)
+	req, reservation, status, bad := c.readRequest(limits)
 	if bad != nil {
 		var h http.Header
 		if bad.Code == fault.MemorySpent {
@@ -82,18 +84,18 @@
 		return false
 	}
 	if c.s.refusing.Load() {
-		hold.Release()
+		reservation.Release()
 		c.refuse(req.Header, http.StatusServiceUnavailable, fault.New(fault.Draining, "", "the node is stopping"))
 		return false
 	}
-	return c.take(req, hold)
+	return c.accept(req, reservation)
 }
 
-// awaitRequest waits for the first byte of the next request; false when there is none to come.
+// awaitRequest waits for the first byte of the next request. It returns false when no further request will be read.
 func (c *conn) awaitRequest(limits Limits) bool {
 	for until := time.Now().Add(limits.IdleTimeout); ; until = c.idleUntil(c.s.limits()) {
-		c.limit.left = int64(limits.HeaderBytes) + readBuffer
-		c.readUntil(until)
+		c.limit.remaining = int64(limits.HeaderBytes) + readBuffer
+		c.setReadDeadline(until)
 		_, err := c.r.Peek(1)
 		if err == nil {
 			return true
@@ -107,44 +109,45 @@
 			continue
 		}
 		if timeout {
-			c.end(nil)
+			c.close(nil)
 			return false
 		}
-		c.end(errGone)
+		c.close(errCallerGone)
 		return false
 	}
 }
 
-// closed tells whether the connection takes no more requests.
+// closed reports whether the connection accepts no more requests.
 func (c *conn) closed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.last
+	return c.closing
 }
 
-// working tells whether some request waits for its answer.
-func (c *conn) working() bool {
+// hasPending reports whether any request of the connection has not been answered yet.
+func (c *conn) hasPending() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.ahead) > 0
+	return len(c.pending) > 0
 }
 
-// idleUntil is when the connection has been idle for too long. One that waits for an answer is not idle.
+// idleUntil returns the time at which the connection's idle timeout expires. A connection with a pending request is not
+// idle, so its timeout begins anew.
 func (c *conn) idleUntil(limits Limits) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.ahead) > 0 {
+	if len(c.pending) > 0 {
 		return time.Now().Add(limits.IdleTimeout)
 	}
-	return c.answered.Add(limits.IdleTimeout)
+	return c.lastAnswered.Add(limits.IdleTimeout)
 }
 
-// behind counts the requests that were read and have not begun.
-func (c *conn) behind() int {
+// unstarted returns the number of requests that have been read but whose handler has not been started.
+func (c *conn) unstarted() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
-	for _, x := range c.ahead {
+	for _, x := range c.pending {
 		if !x.started {
 			n++
 		}
@@ -152,119 +155,124 @@
 	return n
 }
 
-// refuse answers what could not be read or is not taken, after the answers before it, and closes the connection; h is the
-// request's header, nil where it could not be read.
+// refuse answers a request that could not be read or is not accepted with an error, after the answers of the requests
+// before it, and closes the connection. h is the request's header, nil if it could not be read. A status of 0 means that
+// the caller has gone: the connection is then closed without an answer.
 func (c *conn) refuse(h http.Header, status int, bad *fault.Error) {
 	if status == 0 {
-		c.end(errGone)
+		c.close(errCallerGone)
 		return
 	}
-	c.s.flight.Add()
-	defer c.s.flight.Done()
+	c.s.inFlight.Add()
+	defer c.s.inFlight.Done()
 	x := c.newExchange(&http.Request{Method: http.MethodGet, ProtoMajor: 1, ProtoMinor: 1, Close: true})
 	x.started = true
-	if !c.queue(x) || !x.await() {
+	if !c.enqueue(x) || !x.await() {
 		return
 	}
 	c.s.onError(x, h, status, bad)
 	x.finish()
 }
 
-// take queues a request, whose body holds some memory, and starts what may start; false when the connection takes no more.
-func (c *conn) take(req *http.Request, hold *memory.Reservation) bool {
+// accept enqueues a request and starts the pending requests that may run. reservation is the memory reserved for the request's
+// body. It returns false when the connection accepts no more requests.
+func (c *conn) accept(req *http.Request, reservation *memory.Reservation) bool {
 	x := c.newExchange(req)
-	x.hold = hold
-	if !c.queue(x) {
-		hold.Release()
+	x.reservation = reservation
+	if !c.enqueue(x) {
+		reservation.Release()
 		return false
 	}
-	c.pump()
+	c.startRunnable()
 	return !req.Close
 }
 
-// queue puts a request behind the others once there is room; false when the connection takes no more.
-func (c *conn) queue(x *exchange) bool {
+// enqueue appends a request to pending, waiting while maxPending requests are there. It returns false when the connection
+// accepts no more requests.
+func (c *conn) enqueue(x *exchange) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for len(c.ahead) >= mostAhead && !c.last && c.ctx.Err() == nil {
-		c.room.Wait()
+	for len(c.pending) >= maxPending && !c.closing && c.ctx.Err() == nil {
+		c.pendingFreed.Wait()
 	}
-	if c.last || c.ctx.Err() != nil {
+	if c.closing || c.ctx.Err() != nil {
 		return false
 	}
-	c.ahead = append(c.ahead, x)
-	if len(c.ahead) == 1 {
+	c.pending = append(c.pending, x)
+	if len(c.pending) == 1 {
 		close(x.turn)
 	}
 	return true
 }
 
-// pump starts the requests that may run: safe ones side by side, any other alone.
-func (c *conn) pump() {
+// startRunnable starts the pending requests that may run: safe requests run concurrently, any other request runs alone.
+func (c *conn) startRunnable() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for i, x := range c.ahead {
-		alone := !x.safe() || i > 0 && !c.ahead[i-1].safe()
-		if c.last || i > 0 && alone {
+	for i, x := range c.pending {
+		alone := !x.safe() || i > 0 && !c.pending[i-1].safe()
+		if c.closing || i > 0 && alone {
 			return
 		}
 		if !x.started {
 			x.started = true
-			c.s.flight.Add()
+			c.s.inFlight.Add()
 			go x.run()
 		}
 	}
 }
 
-// next takes the answered request out and lets the next answer go.
-func (c *conn) next(closes bool) {
+// advance removes the answered request from pending and lets the next answer be written. closes is set if the answer was
+// the connection's last.
+func (c *conn) advance(closes bool) {
 	c.mu.Lock()
-	c.ahead = c.ahead[1:]
-	c.answered = time.Now()
-	if len(c.ahead) > 0 && !closes {
-		close(c.ahead[0].turn)
+	c.pending = c.pending[1:]
+	c.lastAnswered = time.Now()
+	if len(c.pending) > 0 && !closes {
+		close(c.pending[0].turn)
 	}
-	c.room.Broadcast()
+	c.pendingFreed.Broadcast()
 	c.mu.Unlock()
 	if closes {
 		c.linger()
 		return
 	}
-	c.pump()
+	c.startRunnable()
 }
 
-// lastAnswer decides, when an answer begins, whether it is the connection's last: the caller or the handler wants that,
-// or the node stops and nothing else that was read waits for its answer.
-func (c *conn) lastAnswer(x *exchange, wants bool) bool {
+// decideClose decides, when an answer is started, whether it is the connection's last: it is when the caller or the handler
+// asks for that (wantsClose), or when the server is draining and no other request of the connection is pending.
+func (c *conn) decideClose(x *exchange, wantsClose bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if wants || x.req.Close || c.s.closing.Load() && len(c.ahead) == 1 {
-		c.last = true
+	if wantsClose || x.req.Close || c.s.draining.Load() && len(c.pending) == 1 {
+		c.closing = true
 	}
-	return c.last
+	return c.closing
 }
 
-// linger closes the connection so that the caller reads its last answer: closing under unread bytes would reset it.
+// linger closes the connection's sending side only, so that the caller can read its last answer: closing a socket that
+// holds unread bytes resets the connection, and the caller would lose the answer.
 func (c *conn) linger() {
 	if t, ok := c.raw.(*net.TCPConn); ok {
 		_ = t.CloseWrite()
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	// The goroutine that reads closes the connection at this time at the latest.
+	// The goroutine that reads closes the connection at this deadline at the latest.
 	c.lingers = true
-	_ = c.raw.SetReadDeadline(time.Now().Add(lingerLimit))
+	_ = c.raw.SetReadDeadline(time.Now().Add(lingerTimeout))
 }
 
-// lingering tells whether the connection only waits for its caller to close.
+// lingering reports whether the connection only waits for its caller to close it.
 func (c *conn) lingering() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lingers
 }
 
-// readUntil bounds the reading of what comes next, unless the connection is being closed already.
-func (c *conn) readUntil(at time.Time) {
+// setReadDeadline sets the read deadline, unless the connection is lingering: it then has its final deadline.
+func (c *conn) setReadDeadline(at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.lingers {
@@ -272,22 +280,22 @@
 	}
 }
 
-// end closes the connection at once; a cause cancels what is under way.
-func (c *conn) end(cause error) {
+// close closes the connection at once. A cause that is not nil cancels the connection's requests in flight.
+func (c *conn) close(cause error) {
 	if cause != nil {
 		c.cancel(cause)
 	}
 	_ = c.raw.Close()
 	c.mu.Lock()
-	c.last = true
-	c.room.Broadcast()
+	c.closing = true
+	c.pendingFreed.Broadcast()
 	c.mu.Unlock()
 }
 
-// abort resets the connection, so that a half answer cannot look whole.
+// abort resets the connection, so that the caller cannot take a truncated answer for a complete one.
 func (c *conn) abort() {
 	if t, ok := c.raw.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
 	}
-	c.end(errGone)
+	c.close(errCallerGone)
 }
--- a/pipeline/exchange.go
+++ b/pipeline/exchange.go
@@ -13,39 +13,41 @@
 	"github.com/lynxplank/lynxplank/memory"
 )
 
-// heldAnswer is how much of an answer is put together before it is written, in bytes: a short one goes out in one write.
-const heldAnswer = 32 << 10
+// answerBuffer is how much of an answer's body is buffered before it is written, in bytes, so that a short answer is sent
+// in one write.
+const answerBuffer = 32 << 10
 
-// exchange is one request with its answer; it is the handler's http.ResponseWriter.
+// exchange is a request with its answer; it is the http.ResponseWriter that the handler gets.
 type exchange struct {
 	c      *conn
 	req    *http.Request
 	header http.Header
-	// hold is what the request's body holds of the node's memory, nil for nothing.
-	hold *memory.Reservation
-	// started is set once the request runs; the connection's lock guards it.
+	// reservation is the memory reserved for the request's body, nil for none.
+	reservation *memory.Reservation
+	// started is set once the request runs; guarded by the connection's mu.
 	started bool
-	// turn is closed when the answer may be written.
+	// turn is closed when the answers before this one are finished, so that this one may be written.
 	turn chan struct{}
 
 	status int
-	// buf holds the start of the body until the answer has begun, that is, until its head is written.
-	buf   bytes.Buffer
-	begun bool
-	// chunked is set when chunks show the answer's end, closes when it is the connection's last.
+	// buf holds the start of the body until the answer's head is written; headWritten is set then.
+	buf         bytes.Buffer
+	headWritten bool
+	// chunked is set when the answer is sent in chunks, closes when it is the connection's last.
 	chunked bool
 	closes  bool
-	// left is what is still due of an answer with a length, -1 without one.
-	left int64
-	// err is the first failure to write; nothing is written after it.
+	// remaining is the number of body bytes still to be written of an answer with a length, -1 without one.
+	remaining int64
+	// err is the first write error; nothing is written after it.
 	err error
 }
 
 func (c *conn) newExchange(req *http.Request) *exchange {
-	return &exchange{c: c, req: req, header: make(http.Header), turn: make(chan struct{}), left: -1}
+	return &exchange{c: c, req: req, header: make(http.Header), turn: make(chan struct{}), remaining: -1}
 }
 
-// safe tells whether the request may run beside the others of its connection.
+// safe reports whether the request may run concurrently with other safe requests of its connection: it has a safe method
+// and no body.
 func (x *exchange) safe() bool {
 	switch x.req.Method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions:
@@ -54,18 +56,18 @@
 	return false
 }
 
-// run has the handler answer the request.
+// run calls the handler and finishes the answer.
 func (x *exchange) run() {
-	defer x.c.s.flight.Done()
-	defer x.hold.Release()
+	defer x.c.s.inFlight.Done()
+	defer x.reservation.Release()
 	defer func() {
 		r := recover()
 		if r == nil {
 			return
 		}
-		// An abort is the handler's way to say that the answer must not look whole; anything else is a fault of its own,
-		// which costs this caller its connection and nobody else anything.
-		if err, ok := r.(error); !ok || err != http.ErrAbortHandler { //nolint:errorlint // compared as the library does
+		// With http.ErrAbortHandler the handler asks that the answer not look complete. Any other panic is a fault of the
+		// handler and is reported; only this caller's connection is closed.
+		if err, ok := r.(error); !ok || err != http.ErrAbortHandler { //nolint:errorlint // compared as net/http does
 			x.c.s.onPanic(r, debug.Stack())
 		}
 		x.abort()
@@ -74,14 +76,14 @@
 	x.finish()
 }
 
-// abort waits for the answers before it and resets the connection.
+// abort waits for the answers before this one and resets the connection.
 func (x *exchange) abort() {
 	if x.await() {
 		x.c.abort()
 	}
 }
 
-// await waits for the answer's turn; false when the connection is gone.
+// await waits for the answer's turn. It returns false when the connection is closed because its caller has gone.
 func (x *exchange) await() bool {
 	select {
 	case <-x.turn:
@@ -107,72 +109,73 @@
 	if x.err != nil {
 		return 0, x.err
 	}
-	if !x.begun && x.buf.Len()+len(b) <= heldAnswer {
+	if !x.headWritten && x.buf.Len()+len(b) <= answerBuffer {
 		return x.buf.Write(b)
 	}
 	if err := x.begin(false); err != nil {
 		return 0, err
 	}
-	return len(b), x.put(b)
+	return len(b), x.writeBody(b)
 }
 
-// Flush writes what is held; http.ResponseController finds it.
+// Flush writes the buffered part of the answer; http.ResponseController calls it.
 func (x *exchange) Flush() {
 	x.WriteHeader(http.StatusOK)
 	_ = x.begin(false)
 }
 
-// begin writes the head and what is held; whole tells that nothing follows.
+// begin writes the answer's head and the buffered part of its body. whole is set if nothing follows.
 func (x *exchange) begin(whole bool) error {
-	if x.begun || x.err != nil {
+	if x.headWritten || x.err != nil {
 		return x.err
 	}
 	if !x.await() {
-		x.err = errGone
+		x.err = errCallerGone
 		return x.err
 	}
-	x.begun = true
+	x.headWritten = true
 	held := bytes.Clone(x.buf.Bytes())
 	x.buf.Reset()
-	x.frame(whole, len(held))
+	x.setFraming(whole, len(held))
 	var b bytes.Buffer
 	x.writeHead(&b)
 	if x.bodyless() {
 		held = nil
 	}
-	if !x.fits(len(held)) {
+	if !x.checkLength(len(held)) {
 		return x.err
 	}
 	x.writePart(&b, held)
 	return x.write(b.Bytes())
 }
 
-// bodyless tells whether the answer has no body, whatever the handler writes.
+// bodyless reports whether the answer has no body, whatever the handler writes.
 func (x *exchange) bodyless() bool {
 	return x.req.Method == http.MethodHead || x.status == http.StatusNoContent || x.status == http.StatusNotModified
 }
 
-// frame decides how the answer's end is shown.
-func (x *exchange) frame(whole bool, held int) {
+// setFraming decides how the caller recognizes the answer's end (by a length, by chunks or by the connection's close), and sets
+// the header fields for it.
+func (x *exchange) setFraming(whole bool, held int) {
 	x.header.Del("Transfer-Encoding")
-	wants := x.header.Get("Connection") == "close"
+	wantsClose := x.header.Get("Connection") == "close"
 	x.header.Del("Connection")
 	length, err := strconv.ParseInt(x.header.Get("Content-Length"), 10, 64)
 	switch {
 	case x.bodyless():
-		x.left = -1
+		x.remaining = -1
 	case err == nil && length >= 0:
-		x.left = length
+		x.remaining = length
 	case whole:
-		x.left = int64(held)
+		x.remaining = int64(held)
 		x.header.Set("Content-Length", strconv.Itoa(held))
 	case x.req.ProtoAtLeast(1, 1):
 		x.chunked = true
 		x.header.Set("Transfer-Encoding", "chunked")
 	default:
-		wants = true
+		wantsClose = true
 	}
-	x.closes = x.c.lastAnswer(x, wants || !x.req.ProtoAtLeast(1, 1))
+	x.closes = x.c.decideClose(x, wantsClose || !x.req.ProtoAtLeast(1, 1))
 	if x.closes {
 		x.header.Set("Connection", "close")
 	}
@@ -188,7 +191,8 @@
 	b.WriteString("\r\n")
 }
 
-// writePart adds a part of the body in the answer's framing; an empty part adds nothing, as an empty chunk would end it.
+// writePart appends a part of the body to b in the answer's framing. An empty part appends nothing, as an empty chunk would
+// end the answer.
 func (x *exchange) writePart(b *bytes.Buffer, part []byte) {
 	if len(part) == 0 {
 		return
@@ -203,31 +207,33 @@
 	b.WriteString("\r\n")
 }
 
-// fits tells whether so much more of the body is within the length that the answer states; more would be taken for the
-// next answer.
-func (x *exchange) fits(n int) bool {
-	if x.left >= 0 && int64(n) > x.left {
-		x.err = fault.Wrap(http.ErrContentLength, fault.Internal, "answer", "is longer than it says")
+// checkLength reports whether n more bytes of the body are within the answer's stated length, and sets err if not: the caller
+// would take the excess for the start of the next answer.
+func (x *exchange) checkLength(n int) bool {
+	if x.remaining >= 0 && int64(n) > x.remaining {
+		x.err = fault.Wrap(http.ErrContentLength, fault.Internal, "answer", "the body is longer than its Content-Length")
 	}
 	return x.err == nil
 }
 
-// countDown notes that a part of an answer with a length has been written.
+// countDown subtracts n written bytes from the remaining length of an answer with a length.
 func (x *exchange) countDown(n int) {
-	if x.left >= 0 {
-		x.left -= int64(n)
+	if x.remaining >= 0 {
+		x.remaining -= int64(n)
 	}
 }
 
-// stallLimit is how long a caller may read nothing of its answer: one that is gone must not hold its request for ever.
-const stallLimit = 15 * time.Second
+// writeStallTimeout is how long a caller may read nothing of its answer: without a limit, a caller that has gone would keep its
+// request in flight for ever.
+const writeStallTimeout = 15 * time.Second
 
 // write sends bytes to the caller; after a failure it sends nothing more.
 //
-// Its limit is none of the operators' limits: these bound a connection that waits for a request, and may be shortened under answers.
+// It uses writeStallTimeout and not the operators' IdleTimeout: that bounds a connection that waits for a request, and an
+// operator may shorten it while answers are being written.
 func (x *exchange) write(b []byte) error {
 	for x.err == nil && len(b) > 0 {
-		_ = x.c.raw.SetWriteDeadline(time.Now().Add(stallLimit))
+		_ = x.c.raw.SetWriteDeadline(time.Now().Add(writeStallTimeout))
 		n, err := x.c.raw.Write(b)
 		b = b[n:]
 		if err != nil && (n == 0 || !errors.Is(err, os.ErrDeadlineExceeded)) {
@@ -237,13 +243,13 @@
 	return x.err
 }
 
-// put writes a part of the body behind the head.
-func (x *exchange) put(b []byte) error {
+// writeBody writes a part of the body after the head.
+func (x *exchange) writeBody(b []byte) error {
 	if x.bodyless() || len(b) == 0 {
 		return x.err
 	}
 	if !x.chunked {
-		if !x.fits(len(b)) {
+		if !x.checkLength(len(b)) {
 			return x.err
 		}
 		x.countDown(len(b))
@@ -254,19 +260,19 @@
 	return x.write(part.Bytes())
 }
 
-// finish ends the answer and lets the next one go.
+// finish completes the answer and lets the next one be written.
 func (x *exchange) finish() {
 	x.WriteHeader(http.StatusOK)
 	if x.begin(true) != nil {
-		x.c.end(errGone)
+		x.c.close(errCallerGone)
 		return
 	}
 	if x.chunked {
 		_ = x.write([]byte("0\r\n\r\n"))
 	}
-	if x.left > 0 && !x.bodyless() || x.err != nil {
+	if x.remaining > 0 && !x.bodyless() || x.err != nil {
 		x.c.abort()
 		return
 	}
-	x.c.next(x.closes)
+	x.c.advance(x.closes)
 }
--- a/pipeline/request.go
+++ b/pipeline/request.go
@@ -15,35 +15,35 @@
 )
 
 const (
-	// readBuffer is what a connection reads ahead, in bytes: as much as net/http's server does.
+	// readBuffer is the size of a connection's read buffer, in bytes, the same as in net/http's server.
 	readBuffer = 4 << 10
 )
 
-// limitedReader fails once a request's header has taken too much.
+// limitedReader fails once the bytes allowed for the current header or part of a body are used up.
 type limitedReader struct {
-	r    io.Reader
-	left int64
+	r         io.Reader
+	remaining int64
 }
 
 var errTooLarge = fault.New(fault.BadRequest, "header", "the header is too large")
 
 // Read implements io.Reader.
 func (l *limitedReader) Read(b []byte) (int, error) {
-	if l.left <= 0 {
+	if l.remaining <= 0 {
 		return 0, errTooLarge
 	}
-	if int64(len(b)) > l.left {
-		b = b[:l.left]
+	if int64(len(b)) > l.remaining {
+		b = b[:l.remaining]
 	}
 	n, err := l.r.Read(b)
-	l.left -= int64(n)
+	l.remaining -= int64(n)
 	return n, err
 }
 
-// readRequest reads one request with its whole body, and returns what that holds of the node's memory. Of a failure it returns the status
-// that HTTP gives it, 0 when nobody is there to read an answer.
+// readRequest reads one request with its whole body, and returns the request and the memory reserved for its body. On
+// failure it returns the HTTP status to answer with, 0 when the caller has gone and cannot read an answer.
 func (c *conn) readRequest(limits Limits) (*http.Request, *memory.Reservation, int, *fault.Error) {
-	c.readUntil(time.Now().Add(limits.HeaderTimeout))
+	c.setReadDeadline(time.Now().Add(limits.HeaderTimeout))
 	req, err := http.ReadRequest(c.r)
 	if err != nil {
 		return nil, nil, statusOf(err), fault.Wrap(err, fault.BadRequest, "request", "request cannot be read")
@@ -54,29 +54,29 @@
 	if req.ContentLength > limits.BodyBytes {
 		return req, nil, http.StatusRequestEntityTooLarge, tooLarge()
 	}
-	hold := c.s.hold(req.Header)
-	status, bad := c.takeBody(req, hold, limits)
+	reservation := c.s.reserveBody(req.Header)
+	status, bad := c.reserveAndReadBody(req, reservation, limits)
 	if bad != nil {
-		hold.Release()
+		reservation.Release()
 		return req, nil, status, bad
 	}
-	c.readUntil(time.Time{})
+	c.setReadDeadline(time.Time{})
 	req.TransferEncoding = nil
 	req.RemoteAddr = c.raw.RemoteAddr().String()
-	return req, hold, 0, nil
+	return req, reservation, 0, nil
 }
 
-// takeBody reads a request's body once there is room for it; a failure is as that of readRequest.
-func (c *conn) takeBody(req *http.Request, hold *memory.Reservation, limits Limits) (int, *fault.Error) {
-	if req.ContentLength > 0 && !hold.Grow(int(req.ContentLength)) {
+// reserveAndReadBody reserves memory for a request's body and reads it. It reports failures as readRequest does.
+func (c *conn) reserveAndReadBody(req *http.Request, reservation *memory.Reservation, limits Limits) (int, *fault.Error) {
+	if req.ContentLength > 0 && !reservation.Grow(int(req.ContentLength)) {
 		return http.StatusServiceUnavailable, memorySpent()
 	}
-	if httpguts.HeaderValuesContainsToken(req.Header["Expect"], "100-continue") && !c.working() {
+	if httpguts.HeaderValuesContainsToken(req.Header["Expect"], "100-continue") && !c.hasPending() {
 		if _, err := io.WriteString(c.raw, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
-			return 0, errGone
+			return 0, errCallerGone
 		}
 	}
-	body, status, bad := c.readBody(req, hold, limits)
+	body, status, bad := c.readBody(req, reservation, limits)
 	if bad != nil {
 		return status, bad
 	}
@@ -85,7 +85,7 @@
 	return 0, nil
 }
 
-// Body is a request's body, which has been read whole.
+// Body is a request's body, which has been read completely before the request is handled.
 type Body struct {
 	*bytes.Reader
 	whole []byte
@@ -94,7 +94,7 @@
 // Close implements io.Closer.
 func (*Body) Close() error { return nil }
 
-// Whole returns all of it, which stays the body's own.
+// Whole returns all bytes of the body, also those read already. The caller must not change them.
 func (b *Body) Whole() []byte { return b.whole }
 
 func memorySpent() *fault.Error {
@@ -103,7 +103,7 @@
 
 func tooLarge() *fault.Error { return fault.New(fault.BodyTooLarge, "body", "the body is too large") }
 
-// statusOf is the status for a request that could not be read, 0 when the caller has left.
+// statusOf returns the HTTP status for a request that could not be read, 0 when the caller has gone.
 func statusOf(err error) int {
 	var netErr net.Error
 	switch {
@@ -117,7 +117,7 @@
 	return http.StatusBadRequest
 }
 
-// checkRequest refuses what two programs might read in two ways.
+// checkRequest refuses requests that two HTTP implementations might interpret differently.
 func checkRequest(r *http.Request) *fault.Error {
 	if r.ProtoMajor != 1 {
 		return fault.New(fault.BadRequest, "request", "want HTTP/1")
@@ -138,8 +138,9 @@
 	return nil
 }
 
-// readBody reads the whole body; each part must come within the header's time. Room for a body that states no length is taken as it comes.
-func (c *conn) readBody(req *http.Request, hold *memory.Reservation, limits Limits) ([]byte, int, *fault.Error) {
+// readBody reads the whole body; each read must succeed within HeaderTimeout. For a body without a stated length, memory is
+// reserved as its parts arrive.
+func (c *conn) readBody(req *http.Request, reservation *memory.Reservation, limits Limits) ([]byte, int, *fault.Error) {
 	if req.ContentLength == 0 {
 		return nil, 0, nil
 	}
@@ -149,14 +150,14 @@
 	}
 	buf := make([]byte, readBuffer)
 	for {
-		c.limit.left = limits.BodyBytes + readBuffer
-		c.readUntil(time.Now().Add(limits.HeaderTimeout))
+		c.limit.remaining = limits.BodyBytes + readBuffer
+		c.setReadDeadline(time.Now().Add(limits.HeaderTimeout))
 		n, err := req.Body.Read(buf)
 		body = append(body, buf[:n]...)
 		if int64(len(body)) > limits.BodyBytes {
 			return nil, http.StatusRequestEntityTooLarge, tooLarge()
 		}
-		if req.ContentLength < 0 && !hold.Grow(n) {
+		if req.ContentLength < 0 && !reservation.Grow(n) {
 			return nil, http.StatusServiceUnavailable, memorySpent()
 		}
 		if err == io.EOF {
--- a/pipeline/script_test.go
+++ b/pipeline/script_test.go
@@ -19,16 +19,16 @@
 	"github.com/lynxplank/lynxplank/memory"
 )
 
-// fixture is a server whose handler is steered by paths, and one caller's connection.
+// fixture is a server whose handler's behavior depends on the request's path, and the connection of one caller.
 type fixture struct {
-	server *Server
-	conn   net.Conn
-	in     *bufio.Reader
-	mu     sync.Mutex
-	gates  map[string]chan struct{}
-	began  chan string
-	left   chan string
-	budget *memory.Budget
+	server   *Server
+	conn     net.Conn
+	reader   *bufio.Reader
+	mu       sync.Mutex
+	gates    map[string]chan struct{}
+	began    chan string
+	canceled chan string
+	budget   *memory.Budget
 }
 
 func (f *fixture) gate(name string) chan struct{} {
@@ -40,7 +40,8 @@
 	return f.gates[name]
 }
 
-// ServeHTTP answers with the method, path and body; /gate/NAME waits for the gate, /cut and /short end too early.
+// ServeHTTP answers with the method, path and body. /gate/NAME waits until the gate is opened, /cut and /short end before
+// the stated length, /long exceeds it, /panic panics, /stream flushes a part first.
 func (f *fixture) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	f.began <- r.URL.Path
@@ -49,7 +50,7 @@
 		select {
 		case <-f.gate(strings.TrimPrefix(r.URL.Path, "/gate/")):
 		case <-r.Context().Done():
-			f.left <- r.URL.Path
+			f.canceled <- r.URL.Path
 			return
 		}
 	case r.URL.Path == "/cut":
@@ -72,7 +73,7 @@
 
 func start(t *testing.T) *fixture {
 	t.Helper()
-	f := &fixture{gates: make(map[string]chan struct{}), began: make(chan string, 100), left: make(chan string, 100)}
+	f := &fixture{gates: make(map[string]chan struct{}), began: make(chan string, 100), canceled: make(chan string, 100)}
 	limits := func() Limits {
 		return Limits{HeaderBytes: 1024, BodyBytes: 64, Conns: 10, HeaderTimeout: time.Second, IdleTimeout: time.Minute}
 	}
@@ -99,26 +100,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.conn, f.in = c, bufio.NewReader(c)
+	f.conn, f.reader = c, bufio.NewReader(c)
 	t.Cleanup(func() { _ = c.Close() })
 }
 
-// TestScripts runs the scenarios of testdata, each line of a request ended by CRLF. Commands:
+// TestScripts runs the scenarios in testdata. Each line of a request is sent with CRLF at its end. Commands:
 //
-//	send            writes requests as they stand
+//	send            sends requests as written, with ~ as an additional CRLF
 //	read [n=N]      reads N answers
-//	began n=N       waits until N requests have begun, and names them
+//	began n=N       waits until N requests have reached the handler, and prints their paths
 //	open NAME       opens a gate
 //	leave           closes the caller's connection
-//	gone            waits for a request whose caller has left
+//	gone            waits until a request is canceled because its caller has gone, and prints its path
 //	dial            opens another connection
-//	ahead n=N       waits until N requests have been read and not answered
-//	working n=N     waits until N requests are under way
+//	ahead n=N       waits until N requests have been read but not answered
+//	working n=N     waits until N requests are in flight
 //	conns n=N       waits until the server holds N connections
 //	drain           begins the planned stop
-//	room n=N        lets bodies hold N bytes, those of a Payer as much as it leaves free
-//	held            prints how many bytes they hold
-//	refuse          has every request refused that is read from now on
+//	room n=N        sets the memory for bodies to N bytes; the bodies of one Payer (a header) may use as much as they leave free
+//	held            prints how many bytes of that are used
+//	refuse          refuses every request that is read from now on
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		f := start(t)
@@ -160,7 +161,7 @@
 	case "leave":
 		_ = f.conn.Close()
 	case "gone":
-		return receive(t, f.left, n)
+		return receive(t, f.canceled, n)
 	case "dial":
 		f.dial(t)
 	case "room":
@@ -176,12 +177,12 @@
 	case "drain":
 		f.server.Drain()
 	default:
-		d.Fatalf(t, "no such command")
+		d.Fatalf(t, "unknown command %q", d.Cmd)
 	}
 	return ""
 }
 
-// await waits until a count is as wanted.
+// await waits until count returns n.
 func (f *fixture) await(n int, count func() int) string {
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if count() == n {
@@ -197,7 +198,7 @@
 	sum := 0
 	for c := range f.server.conns {
 		c.mu.Lock()
-		sum += len(c.ahead)
+		sum += len(c.pending)
 		c.mu.Unlock()
 	}
 	return sum
@@ -211,7 +212,7 @@
 		case name := <-c:
 			names = append(names, name)
 		case <-time.After(10 * time.Second):
-			t.Fatal("got nothing, want a request")
+			t.Fatal("no request within 10s, want one")
 		}
 	}
 	sort.Strings(names)
@@ -221,7 +222,7 @@
 func (f *fixture) read(n int) string {
 	var b strings.Builder
 	for range n {
-		resp, err := http.ReadResponse(f.in, nil)
+		resp, err := http.ReadResponse(f.reader, nil)
 		if err != nil {
 			return b.String() + "closed\n"
 		}
--- a/pipeline/server.go
+++ b/pipeline/server.go
@@ -16,25 +16,25 @@
 	"github.com/lynxplank/lynxplank/memory"
 )
 
-// Limits bound what the listener takes from its callers; they may change while it runs.
+// Limits bound the requests and connections that the server accepts from callers. They may change while it runs.
 type Limits struct {
-	// HeaderBytes is the most that a request's header may hold.
+	// HeaderBytes is the maximum size of a request's header.
 	HeaderBytes int
-	// BodyBytes is the most that a request's body may hold.
+	// BodyBytes is the maximum size of a request's body.
 	BodyBytes int64
-	// Conns is the most connections held at once; further ones are closed at once.
+	// Conns is the maximum number of open connections; additional ones are closed as soon as they are accepted.
 	Conns int
-	// HeaderTimeout bounds the reading of a request's header, and each wait for a part of its body.
+	// HeaderTimeout bounds the reading of a request's header, and each read of a part of its body.
 	HeaderTimeout time.Duration
-	// IdleTimeout is how long a connection may wait for its next request.
+	// IdleTimeout is how long a connection without a pending request may wait for its next one.
 	IdleTimeout time.Duration
 }
 
-// ErrorHandler answers a request that could not be read or is not taken; h is its header, nil where it could not be read,
-// status is what HTTP calls the failure.
+// ErrorHandler answers a request that could not be read or is not accepted. h is the request's header, nil if it could not
+// be read; status is the HTTP status for the failure.
 type ErrorHandler func(w http.ResponseWriter, h http.Header, status int, err *fault.Error)
 
-// Server is the callers' listener; it is a kernel component.
+// Server is the HTTP/1.1 server for callers; it is a kernel component.
 type Server struct {
 	name    string
 	address string
@@ -42,36 +42,36 @@
 	handler http.Handler
 	onError ErrorHandler
 	onPanic func(value any, stack []byte)
-	// hold takes room for a request's body, by its header.
-	hold func(h http.Header) *memory.Reservation
+	// reserveBody returns the reservation from which the memory for a request's body is taken, given the request's header.
+	reserveBody func(h http.Header) *memory.Reservation
 
 	listener net.Listener
-	closing  atomic.Bool
+	draining atomic.Bool
 	refusing atomic.Bool
-	// flight counts the requests under way, open the connections.
-	flight inflight.Counter
-	open   atomic.Int64
+	// inFlight counts the requests in flight, open the connections.
+	inFlight inflight.Counter
+	open     atomic.Int64
 
 	mu    sync.Mutex
 	conns map[*conn]struct{}
 }
 
-// New returns a server for an IP and port.
+// New returns a server that will listen on address, an IP and port. limits is called anew for each request.
 func New(name, address string, limits func() Limits, handler http.Handler, onError ErrorHandler) *Server {
 	return &Server{
 		name: name, address: address, limits: limits, handler: handler, onError: onError,
-		conns: make(map[*conn]struct{}), onPanic: func(any, []byte) {}, hold: func(http.Header) *memory.Reservation { return nil },
+		conns: make(map[*conn]struct{}), onPanic: func(any, []byte) {}, reserveBody: func(http.Header) *memory.Reservation { return nil },
 	}
 }
 
-// OnPanic has f told of a handler that panicked; call it before Start.
+// OnPanic sets the function that is called when a handler panics; call it before Start.
 func (s *Server) OnPanic(f func(value any, stack []byte)) { s.onPanic = f }
 
-// HoldBodies has f give the room for a request's body, by its header; a request without room is refused before its body is read. Call it
-// before Start.
-func (s *Server) ReserveBodies(f func(h http.Header) *memory.Reservation) { s.hold = f }
+// ReserveBodies sets the function that returns, given a request's header, the reservation from which the memory for its
+// body is taken. A request whose stated body length does not fit is refused before its body is read. Call it before Start.
+func (s *Server) ReserveBodies(f func(h http.Header) *memory.Reservation) { s.reserveBody = f }
 
-// Start listens, Unavailable when the address cannot be had.
+// Start begins to listen. It fails with Unavailable when the address cannot be bound.
 func (s *Server) Start(ctx context.Context) error {
 	var lc net.ListenConfig
 	l, err := lc.Listen(ctx, "tcp", s.address)
@@ -83,8 +83,8 @@
 	return nil
 }
 
-// acceptPause is the wait after a failed accept, such as one without a free descriptor.
-const acceptPause = 10 * time.Millisecond
+// acceptRetryDelay is the wait after a failed accept, for example when no file descriptor is free.
+const acceptRetryDelay = 10 * time.Millisecond
 
 func (s *Server) accept(l net.Listener) {
 	for {
@@ -93,7 +93,7 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		if s.open.Add(1) > int64(s.limits().Conns) {
@@ -118,65 +118,68 @@
 	s.mu.Unlock()
 }
 
-// Drain makes each connection's next answer its last; requests are still taken.
-func (s *Server) Drain() { s.closing.Store(true) }
+// Drain has each connection closed with its next answer after which no request is pending; requests are still accepted.
+func (s *Server) Drain() { s.draining.Store(true) }
 
-// Refuse answers every request that is read from now on with 503, as not run, and closes its connection; what is under
-// way goes on.
+// Refuse has every request that is read from now on answered with 503, as not run, and its connection closed. Requests in
+// flight continue.
 func (s *Server) Refuse() {
 	s.Drain()
 	s.refusing.Store(true)
 }
 
-// Working returns the number of requests under way.
-func (s *Server) InFlight() int64 { return s.flight.Load() }
+// InFlight returns the number of requests in flight.
+func (s *Server) InFlight() int64 { return s.inFlight.Load() }
 
-// Behind returns the number of requests that were read and have not begun, as another one on their connection has no answer yet.
+// Unstarted returns the number of requests that have been read but whose handler has not been started, because an earlier
+// request of their connection has not been answered yet.
 func (s *Server) Unstarted() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
 	for c := range s.conns {
-		n += c.behind()
+		n += c.unstarted()
 	}
 	return n
 }
 
-// Stop takes no new connections, waits for the requests in flight as long as ctx allows, then closes what is left.
+// Stop drains the server, waits for the requests in flight as long as ctx allows, then closes the listener and the
+// remaining connections.
 //
-// Connections whose last answers are on their way go on discarding what their callers send: closed under unread bytes they would be reset, and
-// the answers lost.
+// Connections that linger, because their last answer may not have been read yet, continue to discard what their callers
+// send until they close by themselves or ctx ends: closing a socket that holds unread bytes resets the connection, and the
+// answer would be lost.
 func (s *Server) Stop(ctx context.Context) error {
 	s.Drain()
 	if s.listener == nil {
 		return nil
 	}
-	err := s.flight.Wait(ctx, s.name)
+	err := s.inFlight.Wait(ctx, s.name)
 	_ = s.listener.Close()
-	for _, c := range s.all() {
+	for _, c := range s.openConns() {
 		if !c.lingering() {
-			c.end(nil)
+			c.close(nil)
 		}
 	}
 	s.awaitClosed(ctx)
-	for _, c := range s.all() {
-		c.end(nil)
+	for _, c := range s.openConns() {
+		c.close(nil)
 	}
 	return err
 }
 
-// all returns the connections that are open.
-func (s *Server) all() []*conn {
+// openConns returns the open connections.
+func (s *Server) openConns() []*conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Collect(maps.Keys(s.conns))
 }
 
-// awaitClosed waits for the last connections, each of which closes by itself after lingerLimit.
+// awaitClosed waits until the lingering connections are closed; each closes by itself after lingerTimeout at the latest.
 func (s *Server) awaitClosed(ctx context.Context) {
-	tick := time.NewTicker(closedLook)
+	tick := time.NewTicker(closedPollInterval)
 	defer tick.Stop()
-	for len(s.all()) > 0 {
+	for len(s.openConns()) > 0 {
 		select {
 		case <-ctx.Done():
 			return
@@ -185,5 +188,5 @@
 	}
 }
 
-// closedLook is the time between two looks at whether connections are still open.
-const closedLook = 5 * time.Millisecond
+// closedPollInterval is the interval at which awaitClosed checks whether connections are still open.
+const closedPollInterval = 5 * time.Millisecond
--- a/pipeline/stop_test.go
+++ b/pipeline/stop_test.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	// largeBody is more than the sockets between a caller and the server hold, in bytes.
+	// largeBody is a size in bytes that exceeds the socket buffers between a caller and the server.
 	largeBody = 4 << 20
-	// unread is less than the server's socket holds, and more than the caller's.
+	// unread is a size in bytes below that of the server's send buffer and above that of the caller's receive buffer.
 	unread = 32 << 10
 )
 
-// serveSlow starts a server with some idle time, and a caller that holds little unread.
+// serveSlow starts a server with the given idle timeout, and connects a caller with a small receive buffer.
 func serveSlow(t *testing.T, handler http.HandlerFunc, idle func() time.Duration) (*Server, net.Conn) {
 	t.Helper()
 	limits := func() Limits {
@@ -43,11 +43,12 @@
 	return s, c
 }
 
-// TestStopLeavesLastAnswersWhole tells of answers that were reset in their middle although their endpoints had ended well. A caller had sent
-// the next request before it had read the whole answer; the stop found no request under way, closed the connection under the unread bytes, and
-// that resets it.
+// TestStopLeavesLastAnswersWhole guards against a stop that resets connections in the middle of an answer. It comes about
+// when a caller sends its next request before it has read the whole answer: the server has no request in flight any more
+// and closes a socket that holds unread bytes, which resets the connection.
 //
-// The caller here reads all but the end of its answer, sends once more after the stop has closed the listener, and then reads on.
+// The caller here reads all but the end of its answer, sends another request after the stop has closed the listener, and
+// then reads the rest.
 func TestStopLeavesLastAnswersWhole(t *testing.T) {
 	s, c := serveSlow(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", strconv.Itoa(largeBody))
@@ -90,10 +91,10 @@
 	}
 }
 
-// TestShorterIdleTimeKeepsAnswers tells of slow callers whose answers were reset in their middle after an operator had shortened the idle time of
-// callers' connections: each write of an answer had that time as its limit.
+// TestShorterIdleTimeKeepsAnswers guards against answers to slow callers that are reset in the middle after an operator
+// has shortened the idle timeout: it comes about when that timeout also bounds each write of an answer.
 //
-// The caller here reads nothing for longer than the new idle time, and then the whole answer.
+// The caller here reads nothing for longer than the new idle timeout, and then the whole answer.
 func TestShorterIdleTimeKeepsAnswers(t *testing.T) {
 	var idle atomic.Int64
 	idle.Store(int64(time.Minute))
@@ -102,8 +103,8 @@
 		w.Header().Set("Content-Length", strconv.Itoa(largeBody))
 		_ = http.NewResponseController(w).Flush()
 		close(begun)
-		for range largeBody / heldAnswer {
-			_, _ = w.Write(make([]byte, heldAnswer))
+		for range largeBody / answerBuffer {
+			_, _ = w.Write(make([]byte, answerBuffer))
 		}
 	}, func() time.Duration { return time.Duration(idle.Load()) })
 	if _, err := io.WriteString(c, "GET / HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
@@ -123,10 +124,11 @@
 	}
 }
 
-// TestIdleTimeBeginsWithTheLastAnswer tells of kept connections that were closed right after an answer, under requests that crossed the close:
-// their idle time was counted from the request on, the time of its work included.
+// TestIdleTimeBeginsWithTheLastAnswer guards against connections that are closed right after an answer while the caller's
+// next request is on its way: it comes about when the idle timeout begins with the previous request, so that the time of
+// its handling counts as idle.
 //
-// The first request here takes most of the idle time, and the caller rests for less than it afterwards.
+// The first request here takes most of the idle timeout, and the caller then waits for less than the timeout.
 func TestIdleTimeBeginsWithTheLastAnswer(t *testing.T) {
 	t.Parallel()
 	const idle = 4 * time.Second
