--- a/pipeline/conn.go
+++ b/pipeline/conn.go
@@ -65,7 +65,7 @@
 	// Bytes that arrive from here on belong to no request and are discarded; the end of the stream shows that the caller
 	// has closed the connection.
 	_, _ = io.Copy(io.Discard, c.raw)
-	c.close(errCallerGone)
+	c.shutdown(errCallerGone)
 }
 
 // serveNext reads one request and dispatches it to the handler. It returns false when the connection accepts no more.
@@ -109,10 +109,10 @@
 			continue
 		}
 		if timeout {
-			c.close(nil)
+			c.shutdown(nil)
 			return false
 		}
-		c.close(errCallerGone)
+		c.shutdown(errCallerGone)
 		return false
 	}
 }
@@ -160,7 +160,7 @@
 // the caller has gone: the connection is then closed without an answer.
 func (c *conn) refuse(h http.Header, status int, bad *fault.Error) {
 	if status == 0 {
-		c.close(errCallerGone)
+		c.shutdown(errCallerGone)
 		return
 	}
 	c.s.inFlight.Add()
@@ -174,8 +174,8 @@
 	x.finish()
 }
 
-// accept enqueues a request and starts the pending requests that may run. reservation is the memory reserved for the request's
-// body. It returns false when the connection accepts no more requests.
+// accept enqueues a request and starts the pending requests that may run. reservation is the memory reserved for the
+// request's body. It returns false when the connection accepts no more requests.
 func (c *conn) accept(req *http.Request, reservation *memory.Reservation) bool {
 	x := c.newExchange(req)
 	x.reservation = reservation
@@ -280,8 +280,8 @@
 	}
 }
 
-// close closes the connection at once. A cause that is not nil cancels the connection's requests in flight.
-func (c *conn) close(cause error) {
+// shutdown closes the connection at once. A cause that is not nil cancels the connection's requests in flight.
+func (c *conn) shutdown(cause error) {
 	if cause != nil {
 		c.cancel(cause)
 	}
@@ -297,5 +297,5 @@
 	if t, ok := c.raw.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
 	}
-	c.close(errCallerGone)
+	c.shutdown(errCallerGone)
 }
--- a/pipeline/exchange.go
+++ b/pipeline/exchange.go
@@ -154,8 +154,8 @@
 	return x.req.Method == http.MethodHead || x.status == http.StatusNoContent || x.status == http.StatusNotModified
 }
 
-// setFraming decides how the caller recognizes the answer's end (by a length, by chunks or by the connection's close), and sets
-// the header fields for it.
+// setFraming decides how the caller recognizes the answer's end (by a length, by chunks or by the connection's close), and
+// sets the header fields for it.
 func (x *exchange) setFraming(whole bool, held int) {
 	x.header.Del("Transfer-Encoding")
 	wantsClose := x.header.Get("Connection") == "close"
@@ -207,8 +207,8 @@
 	b.WriteString("\r\n")
 }
 
-// checkLength reports whether n more bytes of the body are within the answer's stated length, and sets err if not: the caller
-// would take the excess for the start of the next answer.
+// checkLength reports whether n more bytes of the body are within the answer's stated length, and sets err if not: the
+// caller would take the excess for the start of the next answer.
 func (x *exchange) checkLength(n int) bool {
 	if x.remaining >= 0 && int64(n) > x.remaining {
 		x.err = fault.Wrap(http.ErrContentLength, fault.Internal, "answer", "the body is longer than its Content-Length")
@@ -223,8 +223,8 @@
 	}
 }
 
-// writeStallTimeout is how long a caller may read nothing of its answer: without a limit, a caller that has gone would keep its
-// request in flight for ever.
+// writeStallTimeout is how long a caller may read nothing of its answer: without a limit, a caller that has gone would
+// keep its request in flight for ever.
 const writeStallTimeout = 15 * time.Second
 
 // write sends bytes to the caller; after a failure it sends nothing more.
@@ -264,7 +264,7 @@
 func (x *exchange) finish() {
 	x.WriteHeader(http.StatusOK)
 	if x.begin(true) != nil {
-		x.c.close(errCallerGone)
+		x.c.shutdown(errCallerGone)
 		return
 	}
 	if x.chunked {
--- a/pipeline/script_test.go
+++ b/pipeline/script_test.go
@@ -117,7 +117,7 @@
 //	working n=N     waits until N requests are in flight
 //	conns n=N       waits until the server holds N connections
 //	drain           begins the planned stop
-//	room n=N        sets the memory for bodies to N bytes; the bodies of one Payer (a header) may use as much as they leave free
+//	room n=N        sets the memory for bodies to N bytes; those of one Payer (a header) may use as much as they leave free
 //	held            prints how many bytes of that are used
 //	refuse          refuses every request that is read from now on
 func TestScripts(t *testing.T) {
--- a/pipeline/server.go
+++ b/pipeline/server.go
@@ -158,12 +158,12 @@
 	_ = s.listener.Close()
 	for _, c := range s.openConns() {
 		if !c.lingering() {
-			c.close(nil)
+			c.shutdown(nil)
 		}
 	}
 	s.awaitClosed(ctx)
 	for _, c := range s.openConns() {
-		c.close(nil)
+		c.shutdown(nil)
 	}
 	return err
 }
