--- a/pipeline/conn.go
+++ b/pipeline/conn.go
@@ -155,7 +155,7 @@
 	return n
 }
 
-// refuse answers a request that could not be read or is not accepted with an error, after the answers of the requests
+// refuse sends an error answer for a request that could not be read or is not accepted, after the answers of the requests
 // before it, and closes the connection. h is the request's header, nil if it could not be read. A status of 0 means that
 // the caller has gone: the connection is then closed without an answer.
 func (c *conn) refuse(h http.Header, status int, bad *fault.Error) {
--- a/pipeline/server.go
+++ b/pipeline/server.go
@@ -56,7 +56,8 @@
 	conns map[*conn]struct{}
 }
 
-// New returns a server that will listen on address, an IP and port. limits is called anew for each request.
+// New returns a server that will listen on address, an IP and port. limits is called for each connection and
+// each request, so that changed limits apply to the next ones.
 func New(name, address string, limits func() Limits, handler http.Handler, onError ErrorHandler) *Server {
 	return &Server{
 		name: name, address: address, limits: limits, handler: handler, onError: onError,
