--- a/node/stop.go
+++ b/node/stop.go
@@ -105,7 +105,7 @@
 }
 
 // StopAgain grants a planned stop that has begun the whole grace once more; what has ended stays so.
-func (n *Node) StopAgain() {
+func (n *Node) RestartGrace() {
 	if after, begun := n.grace.renew(); begun {
 		events.StopRepeated.Log(n.log).Dur("after", after).Send()
 	}
@@ -133,7 +133,7 @@
 	if err != nil {
 		return err
 	}
-	links.Leave()
+	links.AnnounceDraining()
 	e.Close()
 	return nil
 }
--- a/trace/line.go
+++ b/trace/line.go
@@ -126,7 +126,7 @@
 // believes tells whether an event changes what a node believes or does.
 func believes(event int) bool {
 	switch event {
-	case events.NodeStarted.Number, events.NodeStopping.Number, events.NodeStopped.Number, events.RevisionInForce.Number,
+	case events.NodeStarted.Number, events.NodeStopping.Number, events.NodeStopped.Number, events.RevisionActivated.Number,
 		events.PlatformLost.Number, events.PlatformBack.Number, events.ConfigReady.Number, events.HostReaped.Number,
 		events.LinkUp.Number, events.LinkSuspect.Number, events.LinkClosed.Number, events.PhaseChanged.Number,
 		events.EndpointAnnounced.Number, events.EndpointLeaving.Number, events.BreakerChanged.Number:
--- a/trace/sends.go
+++ b/trace/sends.go
@@ -50,7 +50,7 @@
 func (s *Sends) Read(r io.Reader) error {
 	return readLines(r, func(object []byte) {
 		var h handed
-		if json.Unmarshal(object, &h) == nil && h.Event == events.FurtherSends.Number {
+		if json.Unmarshal(object, &h) == nil && h.Event == events.RetryCounts.Number {
 			s.byService[h.Service] = append(s.byService[h.Service], h)
 		}
 	})
