--- a/contract/contract.go
+++ b/contract/contract.go
@@ -55,7 +55,7 @@
 	// Address is the caller's IP.
 	Address string
 	// Keyed is set where callers bear customers' keys, which never go on to an endpoint.
-	Keyed bool
+	UsesCustomerKeys bool
 }
 
 // Dispatch is what an endpoint is told of a request.
@@ -69,7 +69,7 @@
 	// Customer is the customer whose key the caller bears, "" where it bears none.
 	Customer string
 	// Left is the time until the answer is of no more use.
-	Left time.Duration
+	TimeLeft time.Duration
 }
 
 // Answer is what an endpoint's answer says besides its body.
--- a/contract/token.go
+++ b/contract/token.go
@@ -28,9 +28,9 @@
 }
 
 // KeyField tells whether a field bears a customer's key.
-func KeyField(name string) bool { return SameField(name, authorization) }
+func IsKeyField(name string) bool { return SameFieldName(name, authorization) }
 
 // SameField tells whether a name stands for a field in whatever spelling: servers behind take other cases, and "_" for "-".
-func SameField(name, field string) bool {
+func SameFieldName(name, field string) bool {
 	return strings.EqualFold(strings.ReplaceAll(name, "_", "-"), field)
 }
--- a/egress/run.go
+++ b/egress/run.go
@@ -129,7 +129,7 @@
 		customer = d.GetCustomer()
 	}
 	l.contract.Dispatch(h, contract.Dispatch{
-		Customer: customer, ID: d.GetRequestId(), Endpoint: d.GetEndpoint(), Caller: d.GetCaller(), Left: time.Until(deadline),
+		Customer: customer, ID: d.GetRequestId(), Endpoint: d.GetEndpoint(), Caller: d.GetCaller(), TimeLeft: time.Until(deadline),
 	})
 	r := upstream.Request{
 		Address: *l.address.Load(), Method: d.GetMethod(), Target: d.GetTarget(), Host: d.GetHost(), Header: h,
--- a/ingress/call.go
+++ b/ingress/call.go
@@ -80,7 +80,7 @@
 	c.timeout = c.route.timeout(c.service, decoded.Timeout)
 	c.repeatable = c.route.repeatable(r.Method, decoded.Repeatable)
 	g.findOrigin(&c)
-	c.headers = g.cfg.Contract.Forward(r.Header, contract.Origin{Address: clientIP(r), Keyed: snap.State.KeysRequired()})
+	c.headers = g.cfg.Contract.Forward(r.Header, contract.Origin{Address: clientIP(r), UsesCustomerKeys: snap.State.KeysRequired()})
 	return c, nil
 }
 
--- a/node/config.go
+++ b/node/config.go
@@ -59,7 +59,7 @@
 	if n.cfg.Callers.Contract == "platform" {
 		return platform.Contract{}
 	}
-	return contract.Own{}
+	return contract.Native{}
 }
 
 // limits converts the limits that the settings give for a listener.
