--- a/contract/contract.go
+++ b/contract/contract.go
@@ -45,7 +45,7 @@
 // Token is what a caller bears of a customer's key. It is not to be kept, logged or passed on.
 type Token struct {
 	// Borne is set when the caller bears something, readable or not.
-	Borne bool
+	Present bool
 	// Key is the key, "" for one that cannot be read.
 	Key string
 }
@@ -55,7 +55,7 @@
 	// Address is the caller's IP.
 	Address string
 	// Keyed is set where callers bear customers' keys, which never go on to an endpoint.
-	Keyed bool
+	UsesCustomerKeys bool
 }
 
 // Dispatch is what an endpoint is told of a request.
@@ -69,7 +69,7 @@
 	// Customer is the customer whose key the caller bears, "" where it bears none.
 	Customer string
 	// Left is the time until the answer is of no more use.
-	Left time.Duration
+	TimeLeft time.Duration
 }
 
 // Answer is what an endpoint's answer says besides its body.
@@ -79,13 +79,13 @@
 	// NotRun is the endpoint's word that it did not run the request.
 	NotRun bool
 	// Misplaced is set with NotRun when another instance stands at the address.
-	Misplaced bool
+	Misrouted bool
 	// Leaving is set by an endpoint that is about to stop.
-	Leaving bool
+	Draining bool
 	// Load is what the endpoint says of its own load.
 	Load Load
 	// Foreign is set when the answer cannot be the endpoint's own, or would tell the caller what is not so.
-	Foreign bool
+	Untrusted bool
 }
 
 // Load is an endpoint's own word about its load.
--- a/contract/own.go
+++ b/contract/own.go
@@ -23,10 +23,10 @@
 )
 
 // Own is the product's own contract (docs/CALLERS.md).
-type Own struct{}
+type Native struct{}
 
 // Call implements Contract.
-func (Own) Call(h http.Header) (Call, *fault.Error) {
+func (Native) Call(h http.Header) (Call, *fault.Error) {
 	c := Call{
 		ID: uuid.NewString(), Customer: h.Get(header.Customer), Repeatable: h.Get(header.Repeatable),
 		Key: h.Get(header.IdempotencyKey), Token: TokenOf(h),
@@ -73,16 +73,16 @@
 }
 
 // Forward implements Contract.
-func (Own) Forward(h http.Header, from Origin) []*peerpb.Header {
+func (Native) Forward(h http.Header, from Origin) []*peerpb.Header {
 	fields := slices.DeleteFunc(header.FromHTTP(h), func(f *peerpb.Header) bool {
-		return from.Keyed && (KeyField(f.GetName()) || SameField(f.GetName(), header.Customer))
+		return from.UsesCustomerKeys && (IsKeyField(f.GetName()) || SameFieldName(f.GetName(), header.Customer))
 	})
 	return append(fields, &peerpb.Header{Name: "X-Forwarded-For", Value: from.Address})
 }
 
 // Dispatch implements Contract.
-func (Own) Dispatch(h http.Header, d Dispatch) {
-	h.Set(header.Deadline, strconv.FormatInt(d.Left.Milliseconds(), 10)+"ms")
+func (Native) Dispatch(h http.Header, d Dispatch) {
+	h.Set(header.Deadline, strconv.FormatInt(d.TimeLeft.Milliseconds(), 10)+"ms")
 	h.Set(header.RequestID, d.ID)
 	if d.Customer != "" {
 		h.Set(header.Customer, d.Customer)
@@ -90,17 +90,17 @@
 }
 
 // Answer implements Contract.
-func (Own) Answer(_ int, h http.Header) Answer {
+func (Native) Answer(_ int, h http.Header) Answer {
 	return Answer{
-		ID: h.Get(header.RequestID), NotRun: h.Get(header.NotRun) != "", Leaving: h.Get(header.Leaving) != "",
+		ID: h.Get(header.RequestID), NotRun: h.Get(header.NotRun) != "", Draining: h.Get(header.Leaving) != "",
 	}
 }
 
 // Return implements Contract.
-func (Own) Return(h http.Header) []*peerpb.Header { return header.FromHTTP(h) }
+func (Native) Return(h http.Header) []*peerpb.Header { return header.FromHTTP(h) }
 
 // Outcome implements Contract.
-func (Own) Outcome(h http.Header, o Outcome) {
+func (Native) Outcome(h http.Header, o Outcome) {
 	h.Set(header.Outcome, OutcomeName(o.Outcome))
 	if o.ID != "" {
 		h.Set(header.RequestID, o.ID)
--- a/contract/token.go
+++ b/contract/token.go
@@ -19,7 +19,7 @@
 	if len(values) == 0 {
 		return Token{}
 	}
-	t := Token{Borne: true}
+	t := Token{Present: true}
 	scheme, key, _ := strings.Cut(strings.TrimSpace(values[0]), " ")
 	if len(values) == 1 && strings.EqualFold(scheme, tokenScheme) {
 		t.Key = strings.TrimSpace(key)
@@ -28,9 +28,9 @@
 }
 
 // KeyField tells whether a field bears a customer's key.
-func KeyField(name string) bool { return SameField(name, authorization) }
+func IsKeyField(name string) bool { return SameFieldName(name, authorization) }
 
 // SameField tells whether a name stands for a field in whatever spelling: servers behind take other cases, and "_" for "-".
-func SameField(name, field string) bool {
+func SameFieldName(name, field string) bool {
 	return strings.EqualFold(strings.ReplaceAll(name, "_", "-"), field)
 }
--- a/egress/egress.go
+++ b/egress/egress.go
@@ -139,7 +139,7 @@
 // New returns an egress that reads the active configuration from state.
 func New(cfg Config, log *zerolog.Logger, state func() *table.State, opts ...Option) *Egress {
 	if cfg.Contract == nil {
-		cfg.Contract = contract.Own{}
+		cfg.Contract = contract.Native{}
 	}
 	if cfg.Breaker == (breaker.Config{}) {
 		cfg.Breaker = breaker.DefaultConfig()
--- a/ingress/arrivals_test.go
+++ b/ingress/arrivals_test.go
@@ -25,13 +25,13 @@
 
 // misroutedContract is the product's contract for endpoints that mark misrouted requests with status 421 and requests
 // that they did not run with 503.
-type misroutedContract struct{ contract.Own }
+type misroutedContract struct{ contract.Native }
 
 // Answer implements contract.Contract.
 func (m misroutedContract) Answer(status int, h http.Header) contract.Answer {
-	a := m.Own.Answer(status, h)
-	a.Misplaced = status == http.StatusMisdirectedRequest
-	a.NotRun = a.NotRun || a.Misplaced || status == http.StatusServiceUnavailable
+	a := m.Native.Answer(status, h)
+	a.Misrouted = status == http.StatusMisdirectedRequest
+	a.NotRun = a.NotRun || a.Misrouted || status == http.StatusServiceUnavailable
 	return a
 }
 
--- a/ingress/call.go
+++ b/ingress/call.go
@@ -80,7 +80,7 @@
 	c.timeout = c.route.timeout(c.service, decoded.Timeout)
 	c.repeatable = c.route.repeatable(r.Method, decoded.Repeatable)
 	g.findOrigin(&c)
-	c.headers = g.cfg.Contract.Forward(r.Header, contract.Origin{Address: clientIP(r), Keyed: snap.State.KeysWanted()})
+	c.headers = g.cfg.Contract.Forward(r.Header, contract.Origin{Address: clientIP(r), UsesCustomerKeys: snap.State.KeysWanted()})
 	return c, nil
 }
 
@@ -101,7 +101,7 @@
 	switch {
 	case bool(c.route.Value.Open):
 		return "", false, nil
-	case c.token.Borne:
+	case c.token.Present:
 		return "", false, fault.New(fault.UnknownToken, "", "no customer holds this key")
 	}
 	return "", false, fault.New(fault.UnknownToken, "", "want a customer's key")
--- a/ingress/calls_test.go
+++ b/ingress/calls_test.go
@@ -24,11 +24,11 @@
 // window.
 
 // namingContract is the product's contract for callers that name their requests.
-type namingContract struct{ contract.Own }
+type namingContract struct{ contract.Native }
 
 // Call implements contract.Contract.
 func (n namingContract) Call(h http.Header) (contract.Call, *fault.Error) {
-	c, failure := n.Own.Call(h)
+	c, failure := n.Native.Call(h)
 	c.ID = h.Get(header.RequestID)
 	return c, failure
 }
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -133,7 +133,7 @@
 	links *peer.Manager, local Local, m *metrics.Metrics, opts ...Option,
 ) *Ingress {
 	if cfg.Contract == nil {
-		cfg.Contract = contract.Own{}
+		cfg.Contract = contract.Native{}
 	}
 	g := &Ingress{
 		cfg: cfg, log: log, snapshot: snapshot, director: d, links: links, local: local, metrics: m,
--- a/ingress/refuse_test.go
+++ b/ingress/refuse_test.go
@@ -20,7 +20,7 @@
 	log := zerolog.Nop()
 	notReady := func() *configsync.Snapshot { return &configsync.Snapshot{State: table.NewState()} }
 	g := New(Config{Host: "h1"}, &log, notReady, nil, nil, nil, nil)
-	stopping := RefuseUnread(contract.Own{})
+	stopping := RefuseUnread(contract.Native{})
 	refusals := map[string]func(w http.ResponseWriter, r *http.Request){
 		"not ready": g.ServeHTTP,
 		"stopping": func(w http.ResponseWriter, r *http.Request) {
--- a/node/config.go
+++ b/node/config.go
@@ -57,7 +57,7 @@
 	if n.cfg.Callers.Contract == "platform" {
 		return platform.Contract{}
 	}
-	return contract.Own{}
+	return contract.Native{}
 }
 
 // limits are the settings' limits of a listener for nodes, endpoints or operators.
