--- a/trace/explain.go
+++ b/trace/explain.go
@@ -10,9 +10,9 @@
 	"github.com/lynxplank/lynxplank/fault"
 )
 
-// causes say for each code what decided the end, and where to look next.
+// causes explains for each code what decided the request's outcome, and names the events to look at next.
 var causes = map[fault.Code]string{
-	fault.Suspect: "every endpoint that was asked had broken off its work just before and takes only trials; " +
+	fault.Suspect: "every endpoint that was asked had just failed work, so its breaker admitted only trials; " +
 		"see when their breakers opened (406) and what failed there (407)",
 	fault.DeadlineTooShort: "the queues were so long that the work could not have ended in time; see how busy the endpoints " +
 		"were (408) and which were out of use (400, 406)",
@@ -22,10 +22,11 @@
 		"see its links (301, 302) and phases (400)",
 	fault.Draining: "the endpoint was leaving, or its node was stopping, and the ingress did not know yet",
 	fault.Cold:     "the endpoints that were asked were cold, or may have been, and took no more; see 404 for when they began",
-	fault.Stopping: "the node that took the request was stopping, and no endpoint had taken it while its work could still have ended there; " +
+	fault.Stopping: "the node that took the request was stopping, and no endpoint had taken it while its work could still have " +
+		"finished before the stop; " +
 		"see 101 there",
-	fault.CallerSlow:  "the caller read too slowly, and the endpoint's node had no room to keep the rest of the answer (110)",
-	fault.MemorySpent: "the node held as many bodies as it may and did not read this one; see 110 for how much it held",
+	fault.CallerSlow:  "the caller read too slowly, and the endpoint's node had no memory left to buffer the rest of the answer (110)",
+	fault.MemorySpent: "the node's memory for bodies was exhausted, so it did not read this one; see 110 for how much it held",
 	fault.OutOfRegion: "the data of the route or the customer may be in some regions alone, and no endpoint there takes new work, or the " +
 		"node that was asked stands elsewhere; see the regions of the route, the customer and the halls",
 	fault.Evacuated: "the endpoint's hall was evacuated, and the ingress did not know yet; see 211 at both nodes",
@@ -34,31 +35,31 @@
 	fault.EndpointMoved: "another endpoint stands at the address by now and refused the request; compare `hosts` with 404 at its node",
 	fault.Stale: "the ingress went by an older configuration than the endpoint's node; compare `config` with event 200 of " +
 		"both nodes",
-	fault.LinkDown:            "the endpoint's node could not be reached, so the request was not handed over; see the link (301, 302)",
-	fault.LinkLost:            "the link broke after the hand-over and no other way brought the answer before the deadline; see 502",
-	fault.OfferLapsed:         "the slot that was offered was not taken in time, mostly because the link was slow",
+	fault.LinkDown:            "the endpoint's node could not be reached, so the request was not dispatched; see the link (301, 302)",
+	fault.LinkLost:            "the link broke after the request was dispatched, and the answer could not be fetched another way before the deadline; see 502",
+	fault.OfferLapsed:         "the slot that was offered was not taken in time, usually because the link was slow",
 	fault.EndpointUnreachable: "the endpoint took no connection",
 	fault.EndpointShed:        "the endpoint itself refused the work and said that it did not run it",
 	fault.EndpointCut: "the endpoint broke off before its answer was whole, so whether the work ran cannot be known here; see " +
 		"407 for what came",
 	fault.DeadlineExceeded: "the endpoint had the request and had not answered when the time ran out",
 	fault.Canceled:         "the caller went away",
-	fault.RetryBudget:      "the service's retries were spent",
-	fault.NotReady:         "the node held no configuration, or could not make sure that it is the newest",
+	fault.RetryBudget:      "the service's retry budget was exhausted",
+	fault.NotReady:         "the node held no configuration, or could not confirm that it is the newest",
 	fault.UnknownRoute:     "the newest configuration has no route for this host and path",
-	fault.UnknownToken:     "no customer holds the key that the caller bore, by the newest configuration",
+	fault.UnknownToken:     "the key that the caller sent belongs to no customer in the newest configuration",
 	fault.CustomerLimit:    "the customer sent more than its limit",
-	fault.BadRequest:       "the request made no sense; `where` names the place",
+	fault.BadRequest:       "the request is malformed; `where` names the place",
 	fault.BadDeadline:      "the deadline that came with the request cannot be read",
 	fault.BodyTooLarge:     "the body is larger than the listener takes",
 }
 
-// outcomes are the words for what is known of a request's run.
+// outcomes gives the wording for whether a request ran.
 var outcomes = map[string]string{
 	"OUTCOME_RAN": "ran", "OUTCOME_NOT_RUN": "was not run", "OUTCOME_UNKNOWN": "may have run",
 }
 
-// Explain says in a paragraph what happened and what decided it.
+// Explain describes in a paragraph what happened to the request and what decided its outcome.
 func (s Story) Explain() string {
 	if len(s.Lines) == 0 {
 		return fmt.Sprintf("No line names request %s. It was served and is not in the sample of served requests (109 counts "+
@@ -81,7 +82,7 @@
 	return strings.TrimSpace(b.String())
 }
 
-// explainTrail tells who was asked, when, and what came of it.
+// explainTrail lists the endpoints that were asked, when, and with which result.
 func (s Story) explainTrail(b *strings.Builder) {
 	for i, step := range s.End.Trail {
 		if i == 0 {
@@ -96,7 +97,7 @@
 	}
 }
 
-// ageOf tells how old a word of an endpoint was, in milliseconds, -1 for none.
+// ageOf describes the age of the latest report from an endpoint, in milliseconds, -1 for none.
 func ageOf(seen int64) string {
 	if seen < 0 {
 		return "no word of it yet"
@@ -104,7 +105,7 @@
 	return fmt.Sprintf("last word of it %d ms old", seen)
 }
 
-// resultOf tells what came of asking one endpoint.
+// resultOf describes the result of asking one endpoint.
 func resultOf(step Step) string {
 	word := outcomes[step.Outcome]
 	if word == "" {
@@ -116,7 +117,7 @@
 	return word
 }
 
-// explainEnd tells how the request ended and what decided that.
+// explainEnd describes how the request ended and what decided it.
 func (s Story) explainEnd(b *strings.Builder) {
 	e := s.End
 	word := outcomes[e.Outcome]
@@ -138,7 +139,7 @@
 	}
 }
 
-// explainLate says where the time of a request went.
+// explainLate says where the time of a request was spent, if it missed its latency target.
 func (s Story) explainLate(b *strings.Builder) {
 	e := s.End
 	if e.Aim == 0 || e.After <= e.Aim {
@@ -149,7 +150,7 @@
 		e.Aim, e.Work, e.After-e.Work)
 }
 
-// explainCalls names the calls that the endpoint made for the request and that failed.
+// explainCalls names the failed calls that endpoints made on the request's behalf.
 func (s Story) explainCalls(b *strings.Builder) {
 	for _, line := range s.Lines {
 		if line.Request != s.ID && line.Event == events.RequestFailed.Number {
@@ -159,7 +160,7 @@
 	}
 }
 
-// codeOf is a failed line's code, or the endpoint's own status.
+// codeOf returns the code of a failed request, or the endpoint's own status where there is no code.
 func codeOf(line Line) string {
 	if line.Code != "" {
 		return line.Code
--- a/trace/line.go
+++ b/trace/line.go
@@ -10,97 +10,97 @@
 )
 
 const (
-	// longestLine is the longest line of a log that is read, in bytes; nodes write 25 KiB at most.
-	longestLine = 1 << 20
-	// mostBeliefs bounds the lines on what nodes believed that are held while a log is read: about 100 MB of log.
-	mostBeliefs = 400000
+	// maxLineBytes bounds the length of a log line that is read; nodes write at most 25 KiB in a line.
+	maxLineBytes = 1 << 20
+	// maxViewLines bounds the lines on changes of nodes' local views that are held while a log is read: about 100 MB of log.
+	maxViewLines = 400000
 )
 
 // Line is one event of a node's log.
 type Line struct {
-	// Time is when it was written, by the node's own clock.
+	// Time is when the line was written, by the node's own clock.
 	Time time.Time `json:"time"`
-	// Node is the node that wrote it.
+	// Node is the name of the node that wrote the line.
 	Node string `json:"node"`
 	// Event and Name are the event's number and name.
 	Event int    `json:"event"`
 	Name  string `json:"name"`
-	// Request is the request's id, "" where the line is not about one.
+	// Request is the request's id, "" where the line is not about a request.
 	Request string `json:"request"`
-	// Service, Route and Endpoint are what the line names.
+	// Service, Route and Endpoint are the ones that the line names, "" for none.
 	Service  string `json:"service"`
 	Route    string `json:"route"`
 	Endpoint string `json:"endpoint"`
-	// Peer is the address of another node.
+	// Peer is the address of the other node, in lines about links.
 	Peer string `json:"peer"`
-	// Outcome, Code and Status say how it ended, as far as the line knows.
+	// Outcome, Code and Status say how the request ended, as far as the line tells.
 	Outcome string `json:"outcome"`
 	Code    string `json:"code"`
 	Status  int    `json:"status"`
-	// After is how long it took, and Work the endpoint's part of it, in milliseconds.
+	// After is how long the request took, and Work the endpoint's share of that time, in milliseconds.
 	After float64 `json:"after"`
 	Work  float64 `json:"work_ms"`
-	// Aim is when an answer was wanted and Limit until when, in milliseconds from the request's arrival.
+	// Aim is the request's latency target and Limit its deadline, in milliseconds from its arrival.
 	Aim   float64 `json:"aim"`
 	Limit float64 `json:"limit"`
-	// Sends counts the hand-overs, Asked the endpoints that were asked.
+	// Sends counts the dispatches to endpoints, Asked the offers to endpoints.
 	Sends int `json:"sends"`
 	Asked int `json:"asked"`
 	// Repeatable is set for requests that may run more than once.
 	Repeatable bool `json:"repeatable"`
-	// Config and Hosts are the configuration and the list of hosts that decided.
+	// Config and Hosts are the revisions of the configuration and of the list of hosts by which the node decided.
 	Config uint64 `json:"config"`
 	Hosts  uint64 `json:"hosts"`
-	// Trail is who was asked and what came of it.
+	// Trail lists the endpoints that were asked, in order, with the result of each.
 	Trail []Step `json:"trail"`
-	// To and Breaker are states of an endpoint's breaker, or a phase.
+	// To is the new state of an endpoint's breaker or its new phase, Breaker the state of its breaker.
 	To      string `json:"to"`
 	Breaker string `json:"breaker"`
-	// Busy, Queued and Slots are what an endpoint had to do.
+	// Busy, Queued and Slots are the endpoint's requests that run, its requests that wait, and its number of slots.
 	Busy   int `json:"busy"`
 	Queued int `json:"queued"`
 	Slots  int `json:"slots"`
-	// Trial and LastResort tell why an endpoint under suspicion had the request.
+	// Trial and LastResort tell why an endpoint whose breaker was not closed received the request.
 	Trial      bool `json:"trial"`
 	LastResort bool `json:"last_resort"`
-	// Leaving is set for an endpoint that takes nothing new.
+	// Leaving is set for an endpoint that is draining.
 	Leaving bool `json:"leaving"`
-	// Cause is the failure in the node's words.
+	// Cause is the error text that the node logged.
 	Cause string `json:"error"`
 }
 
-// Step is one endpoint that was asked for a request.
+// Step is one attempt to place a request at an endpoint.
 type Step struct {
-	// Endpoint is its key.
+	// Endpoint is the endpoint's key.
 	Endpoint string `json:"endpoint"`
-	// At is when it was asked, in milliseconds from the request's arrival.
+	// At is when the endpoint was asked, in milliseconds from the request's arrival.
 	At int64 `json:"at_ms"`
-	// Seen is how old the asking node's word of it was, in milliseconds, -1 for none.
+	// Seen is the age of the asking node's latest report from the endpoint, in milliseconds, -1 if it had none.
 	Seen int64 `json:"seen_ms"`
-	// Outcome and Code are what came of it.
+	// Outcome and Code are the result of the attempt.
 	Outcome string `json:"outcome"`
 	Code    string `json:"code"`
 }
 
-// Log is what is kept of the logs that were read.
+// Log holds the lines of the logs read that may matter to one request.
 type Log struct {
-	id       string
-	requests []Line
-	beliefs  []Line
-	// dropped is set when there were more beliefs than are held.
+	id        string
+	requests  []Line
+	viewLines []Line
+	// dropped is set when view lines were discarded because there were more than maxViewLines.
 	dropped bool
 }
 
 // NewLog returns an empty log for a request's id.
 func NewLog(id string) *Log { return &Log{id: id} }
 
-// Read takes a log; each line may stand behind other text, as collectors of logs put before it. It fails with BadUsage for a
-// line that is too long to be one of a node's.
+// Read reads a log. Its lines may begin with other text, such as the prefix that a log collector adds. It fails with BadUsage
+// if the log cannot be read or has a line that is too long to come from a node.
 func (l *Log) Read(r io.Reader) error {
 	return readLines(r, l.take)
 }
 
-// take keeps a line that is an event and may matter to the story.
+// take keeps a line that is an event and may matter to the request.
 func (l *Log) take(text []byte) {
 	var line Line
 	if json.Unmarshal(text, &line) != nil || line.Event == 0 {
@@ -109,22 +109,22 @@
 	switch {
 	case l.concerns(line.Request):
 		l.requests = append(l.requests, line)
-	case line.Request != "" || !believes(line.Event):
-		// It is about another request, or says nothing of what a node believes.
-	case len(l.beliefs) < mostBeliefs:
-		l.beliefs = append(l.beliefs, line)
+	case line.Request != "" || !changesView(line.Event):
+		// The line is about another request, or changes no node's local view.
+	case len(l.viewLines) < maxViewLines:
+		l.viewLines = append(l.viewLines, line)
 	default:
 		l.dropped = true
 	}
 }
 
-// concerns tells whether an id is the request's, or that of a call which its endpoint made for it.
+// concerns reports whether an id is the request's own, or that of a call made on its behalf by an endpoint.
 func (l *Log) concerns(id string) bool {
 	return id == l.id || contract.IsCallOf(id, l.id)
 }
 
-// believes tells whether an event changes what a node believes or does.
-func believes(event int) bool {
+// changesView reports whether an event changes a node's local view of the fleet, or the node's own state.
+func changesView(event int) bool {
 	switch event {
 	case events.NodeStarted.Number, events.NodeStopping.Number, events.NodeStopped.Number, events.RevisionInForce.Number,
 		events.PlatformLost.Number, events.PlatformBack.Number, events.ConfigReady.Number, events.HostReaped.Number,
--- a/trace/losses.go
+++ b/trace/losses.go
@@ -14,36 +14,38 @@
 	"github.com/lynxplank/lynxplank/fault"
 )
 
-// mostFailures bounds the failed requests and calls that are held while logs are read: about 100 MB of log.
-const mostFailures = 200000
+// maxFailures bounds the failed requests and calls that are held while logs are read: about 100 MB of log.
+const maxFailures = 200000
 
-// Losses are the requests that were not served, as the logs of all nodes tell, joined with the failed calls beneath them.
+// Losses reports the requests that were not served, from the logs of all nodes, each joined with the failed calls that were
+// made on its behalf.
 type Losses struct {
 	failed []Line
-	// calls are the failed calls of endpoints' work, by the request that the work was for.
+	// calls holds the failed calls that endpoints made, by the id of the caller's request that they were made for.
 	calls map[string][]Line
-	// halls are the nodes' halls.
-	halls   map[string]string
+	// halls holds each node's hall.
+	halls map[string]string
+	// dropped counts the failures that were discarded because there were more than maxFailures.
 	dropped int
 }
 
 // Loss is a group of requests that were lost for the same reason.
 type Loss struct {
-	// Service and Hall are where the requests came from and what they asked for.
+	// Service is the service that the requests asked for, Hall the hall of the node that logged the failure.
 	Service string
 	Hall    string
 	// Repeatable is set for requests that may run more than once.
 	Repeatable bool
-	// Cause is what they were lost for; Beneath is set where a call of their work was.
-	Cause   string
-	Beneath bool
-	// Count is their number, Waited the time that their callers waited in all.
+	// Cause is the code or status that they failed with; InCall is set where that is the cause of a call made on their behalf.
+	Cause  string
+	InCall bool
+	// Count is the number of requests, Waited the total time that their callers waited.
 	Count  int
 	Waited time.Duration
-	// Worst is the second in which most of them came, WorstCount how many.
+	// Worst is the second in which the most of them arrived, WorstCount how many arrived in it.
 	Worst      time.Time
 	WorstCount int
-	// Example is the id of the first of them, for trace.
+	// Example is the id of the first of them, to be traced.
 	Example string
 	seconds map[time.Time]int
 }
@@ -53,13 +55,13 @@
 	return &Losses{calls: make(map[string][]Line), halls: make(map[string]string)}
 }
 
-// Read takes a node's log, or several one after the other; each line may stand behind other text. It fails with BadUsage for
-// a line that is too long to be one of a node's.
+// Read reads the log of a node, or the logs of several nodes in sequence. Its lines may begin with other text. It fails with
+// BadUsage if the log cannot be read or has a line that is too long to come from a node.
 func (l *Losses) Read(r io.Reader) error {
 	return readLines(r, l.take)
 }
 
-// started is the line that tells a node's hall.
+// started holds the fields of a node's start event that tell its hall.
 type started struct {
 	Node string `json:"node"`
 	Hall string `json:"hall"`
@@ -81,9 +83,9 @@
 	}
 }
 
-// keep holds a failed request, or a failed call with the request that it was made for.
+// keep stores a failed request, or a failed call under the id of the request that it was made for.
 func (l *Losses) keep(line Line) {
-	if len(l.failed) >= mostFailures {
+	if len(l.failed) >= maxFailures {
 		l.dropped++
 		return
 	}
@@ -94,13 +96,13 @@
 	l.failed = append(l.failed, line)
 }
 
-// lossKey tells apart what is reported apart.
+// lossKey groups the losses: those with the same key are reported together.
 type lossKey struct {
 	service, hall, cause string
-	repeatable, beneath  bool
+	repeatable, inCall   bool
 }
 
-// Groups returns the losses by cause, the largest first.
+// Groups returns the losses grouped by cause, service, hall and repeatability, the largest group first.
 func (l *Losses) Groups() []Loss {
 	byKey := make(map[lossKey]*Loss)
 	for _, line := range l.failed {
@@ -108,7 +110,7 @@
 		loss := byKey[g]
 		if loss == nil {
 			loss = &Loss{
-				Service: g.service, Hall: g.hall, Repeatable: g.repeatable, Cause: g.cause, Beneath: g.beneath,
+				Service: g.service, Hall: g.hall, Repeatable: g.repeatable, Cause: g.cause, InCall: g.inCall,
 				Example: line.Request, seconds: make(map[time.Time]int),
 			}
 			byKey[g] = loss
@@ -129,12 +131,13 @@
 func (l *Losses) keyOf(line Line) lossKey {
 	g := lossKey{service: line.Service, hall: l.halls[line.Node], repeatable: line.Repeatable, cause: causeOf(line)}
 	if calls := l.calls[line.Request]; len(calls) > 0 {
-		g.cause, g.beneath = causeOf(decisive(calls)), true
+		g.cause, g.inCall = causeOf(decisive(calls)), true
 	}
 	return g
 }
 
-// decisive is the call that its work failed for: an endpoint breaks off the others once one has failed.
+// decisive returns the call that made the endpoint's work fail: the first that was not canceled, because an endpoint cancels its
+// other calls once one has failed.
 func decisive(calls []Line) Line {
 	for _, c := range calls {
 		if fault.Code(c.Code) != fault.Canceled {
@@ -144,7 +147,7 @@
 	return calls[0]
 }
 
-// causeOf is the code of a failure, or the status of the endpoint's own failed answer.
+// causeOf returns the code of a failure, or the status of the endpoint's own answer where there is no code.
 func causeOf(line Line) string {
 	if line.Code != "" {
 		return line.Code
@@ -169,7 +172,7 @@
 	fmt.Fprintln(w, "lost\twaited\tcause\tservice\trepeatable\thall\tworst second\texample")
 	for _, x := range l.Groups() {
 		cause := x.Cause
-		if x.Beneath {
+		if x.InCall {
 			cause = "a call of its work: " + cause
 		}
 		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%v\t%s\t%s (%d)\t%s\n", x.Count, x.Waited.Round(time.Millisecond), cause, x.Service,
--- a/trace/losses_test.go
+++ b/trace/losses_test.go
@@ -7,7 +7,7 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// TestLossScripts reads the logs of testdata/losses and prints the losses by cause:
+// TestLossScripts reads the logs in testdata/losses and prints the losses by cause:
 //
 //	losses    with the logs in the input
 func TestLossScripts(t *testing.T) {
@@ -26,9 +26,9 @@
 	})
 }
 
-// TestOverlongLineOfLosses checks that what is no log fails with a reason instead of being taken in part.
+// TestOverlongLineOfLosses checks that input with a line too long for a log fails, instead of being read in part without an error.
 func TestOverlongLineOfLosses(t *testing.T) {
-	err := NewLosses().Read(strings.NewReader(strings.Repeat("x", 2*longestLine)))
+	err := NewLosses().Read(strings.NewReader(strings.Repeat("x", 2*maxLineBytes)))
 	if err == nil {
 		t.Error("got no error, want one")
 	}
--- a/trace/print.go
+++ b/trace/print.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// Print writes the lines in the order of their times, those on what nodes believed among them, and then the paragraph.
-// Times are each node's own clock, told from the request's arrival; clocks may differ between nodes.
+// Print writes the request's lines and the view lines by time, then the explanation. Times are relative to the request's
+// arrival and by each node's own clock; clocks may differ between nodes.
 func (s Story) Print(out io.Writer) error {
-	all := slices.Concat(s.Lines, s.Beliefs)
+	all := slices.Concat(s.Lines, s.ViewLines)
 	slices.SortStableFunc(all, byTime)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	if len(all) > 0 {
@@ -28,13 +28,13 @@
 		return err
 	}
 	if s.Cut {
-		fmt.Fprintln(out, "The logs held more lines on what nodes believed than are kept; the latest are missing here.")
+		fmt.Fprintln(out, "The logs held more lines on changes of nodes' local views than are kept; the last ones read are missing here.")
 	}
 	_, err := fmt.Fprintf(out, "\n%s\n", s.Explain())
 	return err
 }
 
-// details are a line's fields that say something.
+// details formats the fields of a line that are set.
 func details(line Line, id string) string {
 	var parts []string
 	add := func(name, value string) {
--- a/trace/read.go
+++ b/trace/read.go
@@ -8,11 +8,11 @@
 	"github.com/lynxplank/lynxplank/fault"
 )
 
-// readLines passes on what each line of a log holds from its first brace on: collectors of logs put other text before it. It
-// fails with BadUsage for a line that is too long to be one of a node's.
+// readLines calls take with each line of a log that has a brace, from its first brace on: log collectors put other text before
+// the JSON object. It fails with BadUsage if the log cannot be read or has a line that is too long to come from a node.
 func readLines(r io.Reader, take func(object []byte)) error {
 	in := bufio.NewScanner(r)
-	in.Buffer(nil, longestLine)
+	in.Buffer(nil, maxLineBytes)
 	for in.Scan() {
 		if at := bytes.IndexByte(in.Bytes(), '{'); at >= 0 {
 			take(in.Bytes()[at:])
--- a/trace/script_test.go
+++ b/trace/script_test.go
@@ -7,7 +7,7 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// TestScripts reads the logs of testdata, which nodes wrote, and prints the story of a request:
+// TestScripts reads the logs in testdata/stories, which nodes wrote, and prints the story of a request:
 //
 //	trace id=ID    with the log in the input
 func TestScripts(t *testing.T) {
@@ -29,9 +29,9 @@
 	})
 }
 
-// TestOverlongLine checks that what is no log fails with a reason instead of being taken in part.
+// TestOverlongLine checks that input with a line too long for a log fails, instead of being read in part without an error.
 func TestOverlongLine(t *testing.T) {
-	err := NewLog("x").Read(strings.NewReader(strings.Repeat("x", 2*longestLine)))
+	err := NewLog("x").Read(strings.NewReader(strings.Repeat("x", 2*maxLineBytes)))
 	if err == nil {
 		t.Error("got no error, want one")
 	}
--- a/trace/sends.go
+++ b/trace/sends.go
@@ -13,14 +13,15 @@
 	"github.com/lynxplank/lynxplank/events"
 )
 
-// Sends is what was handed to the endpoints of each service over time, as the logs of all nodes tell: first sends and
-// further ones, for which the service's retries were asked.
+// Sends reports the dispatches to the endpoints of each service over time, from the logs of all nodes: first sends, and
+// retries and hedges, for which the service's retry budget is asked.
 type Sends struct {
-	byService map[string][]handed
+	byService map[string][]sendCounts
 }
 
-// handed is one node's line of what was handed to an endpoint.
-type handed struct {
+// sendCounts holds the counts of one node's line on the sends to an endpoint, or a sum of such lines. First and Further count
+// first sends, and retries and hedges; OfFurther estimates the calls made by work of retries, and Spent the retries that the budget refused.
+type sendCounts struct {
 	Event     int       `json:"event"`
 	Service   string    `json:"service"`
 	Time      time.Time `json:"time"`
@@ -30,8 +31,8 @@
 	Spent     int       `json:"spent"`
 }
 
-// add sums up counts.
-func (h handed) add(o handed) handed {
+// add returns the sum of two counts, with the time of the first.
+func (h sendCounts) add(o sendCounts) sendCounts {
 	h.First += o.First
 	h.Further += o.Further
 	h.OfFurther += o.OfFurther
@@ -39,28 +40,28 @@
 	return h
 }
 
-// beyond is how many sends went beyond the first ones.
-func (h handed) beyond() float64 { return float64(h.Further) + h.OfFurther }
+// beyond returns the number of sends in addition to the first ones: retries, and calls made by work of retries.
+func (h sendCounts) beyond() float64 { return float64(h.Further) + h.OfFurther }
 
 // NewSends returns an empty report.
-func NewSends() *Sends { return &Sends{byService: make(map[string][]handed)} }
+func NewSends() *Sends { return &Sends{byService: make(map[string][]sendCounts)} }
 
-// Read takes a node's log, or several one after the other. It fails with BadUsage for a line that is too long to be one of a
-// node's.
+// Read reads the log of a node, or the logs of several nodes in sequence. It fails with BadUsage if the log cannot be read or
+// has a line that is too long to come from a node.
 func (s *Sends) Read(r io.Reader) error {
 	return readLines(r, func(object []byte) {
-		var h handed
+		var h sendCounts
 		if json.Unmarshal(object, &h) == nil && h.Event == events.FurtherSends.Number {
 			s.byService[h.Service] = append(s.byService[h.Service], h)
 		}
 	})
 }
 
-// worst returns the window with the most sends beyond the first, by its counts and its first line's time; lines are in the
-// order of their time.
-func worst(lines []handed, window time.Duration) (sum handed) {
+// worst returns the counts of the window with the most sends in addition to first ones, with the time of the window's first
+// line. The lines must be sorted by time.
+func worst(lines []sendCounts, window time.Duration) (sum sendCounts) {
 	for i, from := range lines {
-		in := handed{Time: from.Time}
+		in := sendCounts{Time: from.Time}
 		for _, h := range lines[i:] {
 			if h.Time.Sub(from.Time) >= window {
 				break
@@ -74,13 +75,13 @@
 	return sum
 }
 
-// Print writes a line for each service: its worst window, and all of the logs.
+// Print writes a line for each service: the counts of its worst window, and those of the whole logs.
 func (s *Sends) Print(out io.Writer, window time.Duration) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "service\tworst %s from\tfurther\tcalls of further\trefused\tfirst\tin all: further\tcalls of further\trefused\n", window)
 	for _, service := range slices.Sorted(maps.Keys(s.byService)) {
-		lines := slices.SortedFunc(slices.Values(s.byService[service]), func(a, b handed) int { return a.Time.Compare(b.Time) })
-		at, all := worst(lines, window), handed{}
+		lines := slices.SortedFunc(slices.Values(s.byService[service]), func(a, b sendCounts) int { return a.Time.Compare(b.Time) })
+		at, all := worst(lines, window), sendCounts{}
 		for _, h := range lines {
 			all = all.add(h)
 		}
--- a/trace/sends_test.go
+++ b/trace/sends_test.go
@@ -8,7 +8,7 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// TestSendsScripts reads the logs of testdata/sends and prints what was handed to each service's endpoints:
+// TestSendsScripts reads the logs in testdata/sends and prints the counts of sends to each service's endpoints:
 //
 //	sends    with the logs in the input
 func TestSendsScripts(t *testing.T) {
--- a/trace/story.go
+++ b/trace/story.go
@@ -8,25 +8,25 @@
 	"github.com/lynxplank/lynxplank/events"
 )
 
-// beliefSpan is how long before a request what its nodes came to believe is shown: ejections last 8 s at most.
-const beliefSpan = 10 * time.Second
+// viewWindow is how long before a request's arrival view changes of its nodes are included: an ejection lasts at most 8 s.
+const viewWindow = 10 * time.Second
 
-// Story is what the logs tell of one request.
+// Story holds the lines of all logs that are about one request, or may explain its outcome.
 type Story struct {
 	// ID is the request's id.
 	ID string
-	// Lines are the request's own lines in the order of their times.
+	// Lines are the lines about the request and about calls made on its behalf, by time.
 	Lines []Line
-	// Beliefs are what the nodes involved last came to believe of what they decided by: for each subject the latest line
-	// before the request's end, and those from its arrival on.
-	Beliefs []Line
-	// End is the line of the ingress that tells how the request ended, nil if there is none.
+	// ViewLines are the changes of the involved nodes' local views that may have decided the request, by time: for each
+	// subject the latest change up to the request's arrival, and every change from then until its last line.
+	ViewLines []Line
+	// End is the ingress's line on how the request ended, nil if there is none.
 	End *Line
-	// Cut is set when the logs held more lines than are kept.
+	// Cut is set when view lines are missing because the logs held more than Log keeps.
 	Cut bool
 }
 
-// Story joins what was read.
+// Story joins the lines that were read.
 func (l *Log) Story() Story {
 	s := Story{ID: l.id, Lines: slices.Clone(l.requests), Cut: l.dropped}
 	slices.SortStableFunc(s.Lines, byTime)
@@ -35,14 +35,14 @@
 			s.End = &s.Lines[i]
 		}
 	}
-	s.Beliefs = l.beliefsOf(s)
+	s.ViewLines = l.viewLinesOf(s)
 	return s
 }
 
-// byTime orders lines by their times, at the same time by their nodes.
+// byTime orders lines by their times, and those of the same time by their nodes.
 func byTime(a, b Line) int { return cmp.Or(a.Time.Compare(b.Time), cmp.Compare(a.Node, b.Node)) }
 
-// ends tells whether an event tells how a request ended at its ingress.
+// ends reports whether an event is the ingress's line on how a request ended.
 func ends(event int) bool {
 	switch event {
 	case events.RequestRefused.Number, events.RequestFailed.Number, events.RequestServed.Number, events.ServedLate.Number:
@@ -51,7 +51,7 @@
 	return false
 }
 
-// Arrival is when the request came to its ingress, by that node's clock.
+// Arrival returns when the request came to its ingress, by that node's clock; without an end, the time of the first line.
 func (s Story) Arrival() time.Time {
 	if s.End == nil {
 		if len(s.Lines) == 0 {
@@ -62,13 +62,13 @@
 	return s.End.Time.Add(-time.Duration(s.End.After * float64(time.Millisecond)))
 }
 
-// involved are the nodes and endpoints that a request met.
+// involved holds the nodes and endpoints that the lines of a request name.
 type involved struct {
 	nodes     map[string]bool
 	endpoints map[string]bool
 }
 
-// involved returns whom the request's lines name.
+// involved returns the nodes and endpoints that the request's lines name.
 func (s Story) involved() involved {
 	met := involved{nodes: make(map[string]bool), endpoints: make(map[string]bool)}
 	for _, line := range s.Lines {
@@ -83,15 +83,15 @@
 	return met
 }
 
-// subject is what a belief is about: of one subject only the latest before the request counts.
+// subject identifies what a view line is about. Of the lines before the request, only the latest of each subject counts.
 type subject struct {
 	node, about string
 	event       int
 }
 
-// beliefsOf returns the lines on what decided the request: of its endpoints from wherever, of its nodes' links, store and
-// configuration.
-func (l *Log) beliefsOf(s Story) []Line {
+// viewLinesOf returns the view lines that may have decided the request: those of any node about its endpoints (phases only of
+// its own nodes), and those of its nodes about links, the platform and configuration.
+func (l *Log) viewLinesOf(s Story) []Line {
 	if len(s.Lines) == 0 {
 		return nil
 	}
@@ -99,8 +99,8 @@
 	from, to := s.Arrival(), s.Lines[len(s.Lines)-1].Time
 	latest := make(map[subject]Line)
 	var out []Line
-	for _, line := range l.beliefs {
-		if line.Time.After(to) || line.Time.Before(from.Add(-beliefSpan)) || !met.decides(line) {
+	for _, line := range l.viewLines {
+		if line.Time.After(to) || line.Time.Before(from.Add(-viewWindow)) || !met.decides(line) {
 			continue
 		}
 		if line.Time.After(from) {
@@ -113,7 +113,7 @@
 		}
 	}
 	for _, line := range latest {
-		// A link that is up and a breaker that is closed decided nothing.
+		// A state that is as usual, such as a link that is up or a closed breaker, decided nothing.
 		if !settled(line) {
 			out = append(out, line)
 		}
@@ -122,7 +122,7 @@
 	return out
 }
 
-// decides tells whether a belief can have decided the request.
+// decides reports whether a view line can have decided the request.
 func (m involved) decides(line Line) bool {
 	if line.Endpoint != "" {
 		return m.endpoints[line.Endpoint] && (m.nodes[line.Node] || line.Event != events.PhaseChanged.Number)
@@ -130,7 +130,7 @@
 	return m.nodes[line.Node]
 }
 
-// group puts events together of which each ends what the other began.
+// group maps events that replace each other, such as link up and link closed, to one number.
 func group(event int) int {
 	switch event {
 	case events.LinkUp.Number, events.LinkSuspect.Number, events.LinkClosed.Number:
@@ -141,7 +141,7 @@
 	return event
 }
 
-// settled tells whether a line only says that all is as usual.
+// settled reports whether a line only says that a state is as usual.
 func settled(line Line) bool {
 	switch line.Event {
 	case events.LinkUp.Number, events.PlatformBack.Number:
