--- a/contract/contract.go
+++ b/contract/contract.go
@@ -8,100 +8,101 @@
 	"github.com/lynxplank/lynxplank/gen/peerpb"
 )
 
-// Contract is one set of header fields; its methods are safe for concurrent use.
+// Contract reads and writes one set of header fields. Its methods are safe for concurrent use.
 type Contract interface {
-	// Call reads what a caller says of its request.
+	// Call reads the metadata that a caller sends with its request.
 	Call(h http.Header) (Call, *fault.Error)
-	// Forward returns the fields of a request that go on to the endpoint.
+	// Forward returns the fields of a request that are passed on to the endpoint.
 	Forward(h http.Header, from Origin) []*peerpb.Header
-	// Dispatch adds what the endpoint is told of a request.
+	// Dispatch adds the request metadata for the endpoint.
 	Dispatch(h http.Header, d Dispatch)
-	// Answer reads what an endpoint's answer says besides its body.
+	// Answer reads the metadata of an endpoint's answer.
 	Answer(status int, h http.Header) Answer
-	// Return returns the fields of an endpoint's answer that go back to the caller.
+	// Return returns the fields of an endpoint's answer that are passed on to the caller.
 	Return(h http.Header) []*peerpb.Header
-	// Outcome adds what the caller is told of how its request ended.
+	// Outcome adds the fields that tell the caller how its request ended.
 	Outcome(h http.Header, o Outcome)
 }
 
-// Call is what a caller says of its request; zero values are what it does not say.
+// Call is the metadata that a caller sends with its request. A zero value means that the caller did not send it.
 type Call struct {
-	// ID names the request.
+	// ID is the request's id.
 	ID string
-	// Customer is who pays, as the caller says; it counts only where callers need no customer's key.
+	// Customer is the customer that the caller names. It is used only where callers need no customer's key.
 	Customer string
-	// Token is what the caller bears of a customer's key.
+	// Token is the customer's key that the caller sent.
 	Token Token
-	// Timeout is how long the caller waits.
+	// Timeout is how long the caller waits for the answer.
 	Timeout time.Duration
-	// Repeatable is the caller's word on whether the request may run more than once: "yes", "no" or "".
+	// Repeatable is the caller's statement whether the request may run more than once: "yes", "no", or "" for none.
 	Repeatable string
-	// Key recognises a re-send.
+	// Key is the idempotency key, by which a repeated send of the same request is recognized.
 	Key string
 	// Attempt numbers the sends under one key from 1.
 	Attempt uint32
 }
 
-// Token is what a caller bears of a customer's key. It is not to be kept, logged or passed on.
+// Token is the customer's key that a caller sent. It must not be stored, logged or passed on.
 type Token struct {
-	// Borne is set when the caller bears something, readable or not.
+	// Present is set when the caller sent a credential, readable or not.
 	Present bool
-	// Key is the key, "" for one that cannot be read.
+	// Key is the key, "" if the credential is absent or cannot be read.
 	Key string
 }
 
-// Origin is where a request comes from.
+// Origin describes where a request comes from.
 type Origin struct {
-	// Address is the caller's IP.
+	// Address is the caller's IP address.
 	Address string
-	// Keyed is set where callers bear customers' keys, which never go on to an endpoint.
+	// UsesCustomerKeys is set where callers authenticate with customers' keys, which are never passed on to an endpoint.
 	UsesCustomerKeys bool
 }
 
-// Dispatch is what an endpoint is told of a request.
+// Dispatch is the request metadata that an endpoint receives.
 type Dispatch struct {
-	// ID names the request.
+	// ID is the request's id.
 	ID string
-	// Endpoint names the endpoint's instance that is meant.
+	// Endpoint is the key of the endpoint that the request is meant for; it names the instance.
 	Endpoint string
-	// Caller is the service beside whose host the request began, "" for none.
+	// Caller is the calling service, that of the host where the request entered, "" for none.
 	Caller string
-	// Customer is the customer whose key the caller bears, "" where it bears none.
+	// Customer is the customer whose key the caller sent, "" for none.
 	Customer string
-	// Left is the time until the answer is of no more use.
+	// TimeLeft is the time until the deadline, after which the answer is of no more use.
 	TimeLeft time.Duration
 }
 
-// Answer is what an endpoint's answer says besides its body.
+// Answer is the metadata of an endpoint's answer.
 type Answer struct {
-	// ID is the request that the answer belongs to, "" if it does not say.
+	// ID is the id of the request that the answer belongs to, "" if the answer has none.
 	ID string
-	// NotRun is the endpoint's word that it did not run the request.
+	// NotRun is set when the endpoint states that it did not run the request.
 	NotRun bool
-	// Misplaced is set with NotRun when another instance stands at the address.
+	// Misrouted is set, together with NotRun, when another instance answers at the address.
 	Misrouted bool
-	// Leaving is set by an endpoint that is about to stop.
+	// Draining is set when the endpoint states that it is about to stop.
 	Draining bool
-	// Load is what the endpoint says of its own load.
+	// Load is the load that the endpoint reports.
 	Load Load
-	// Foreign is set when the answer cannot be the endpoint's own, or would tell the caller what is not so.
+	// Untrusted is set when the answer cannot come from the endpoint itself, or would tell the caller something untrue. It is
+	// not passed on.
 	Untrusted bool
 }
 
-// Load is an endpoint's own word about its load.
+// Load is the load that an endpoint reports of itself.
 type Load struct {
-	// Running and Waiting are its requests, Slots how many it runs at once; all zero if it says nothing.
+	// Running and Waiting count its requests, Slots is how many it runs at once; all are zero if it reports no load.
 	Running, Waiting, Slots int
 }
 
-// Outcome is what a caller is told of how its request ended.
+// Outcome tells a caller how its request ended.
 type Outcome struct {
-	// ID names the request.
+	// ID is the request's id.
 	ID string
-	// Outcome is what happened to the request.
+	// Outcome says whether the request ran.
 	Outcome peerpb.Outcome
-	// Replayed is set when the answer comes from the record of an earlier run.
+	// Replayed is set when the answer is the stored answer of an earlier run.
 	Replayed bool
-	// RetryAfter is when to come back, 0 if that cannot help.
+	// RetryAfter is the delay after which the caller may retry, 0 if a retry cannot help.
 	RetryAfter time.Duration
 }
--- a/contract/doc.go
+++ b/contract/doc.go
@@ -1,3 +1,3 @@
-// Package contract says how callers and endpoints tell the product what it must know of a request and an answer: the
-// product's own header fields, or those of a platform that it runs on.
+// Package contract defines the header fields by which callers and endpoints exchange the metadata of requests and answers
+// with a node: the product's native fields, or those of a platform that the product runs on (package platform).
 package contract
--- a/contract/own.go
+++ b/contract/own.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// anonymous stands for the customer of a caller that names none.
+	// anonymous is the customer's name for callers that name none.
 	anonymous = "anonymous"
-	// maxKeyLength and maxNameLength bound an idempotency key and a customer's name, in bytes.
+	// maxKeyLength and maxNameLength bound the length of an idempotency key and of a customer's name, in bytes.
 	maxKeyLength  = 256
 	maxNameLength = 128
 )
 
-// Own is the product's own contract (docs/CALLERS.md).
+// Native is the contract of the product's own header fields (docs/CALLERS.md). The settings name it "own".
 type Native struct{}
 
 // Call implements Contract.
@@ -114,7 +114,7 @@
 	}
 }
 
-// OutcomeName is the word of an outcome, "ran", "not-run" or "unknown".
+// OutcomeName returns the header value of an outcome: "ran", "not-run" or "unknown".
 func OutcomeName(o peerpb.Outcome) string {
 	switch o {
 	case peerpb.Outcome_OUTCOME_RAN:
--- a/contract/parent.go
+++ b/contract/parent.go
@@ -2,24 +2,25 @@
 
 import "strings"
 
-// callMark stands in a call's id between the id of the request whose work makes it and what tells its calls apart.
-const callMark = "."
+// callSeparator separates, in the id of a call that an endpoint makes, the id of the request that it is made for from the part
+// that distinguishes the calls of that request.
+const callSeparator = "."
 
-// ParentOf returns the id of the request whose work makes a call, by the call's own id; "" for an id that names none.
+// ParentOf returns the id of the request that a call was made for directly, "" if id is not the id of a call.
 func ParentOf(id string) string {
-	i := strings.LastIndex(id, callMark)
+	i := strings.LastIndex(id, callSeparator)
 	if i < 0 {
 		return ""
 	}
 	return id[:i]
 }
 
-// RootOf returns the id of the caller's request that a call is made for, however many calls are between them; call is false
-// for an id that names no other.
+// RootOf returns the id of the caller's request at the start of a chain of calls, however long the chain; call is false, and
+// root the id itself, if id is not the id of a call.
 func RootOf(id string) (root string, call bool) {
-	root, _, call = strings.Cut(id, callMark)
+	root, _, call = strings.Cut(id, callSeparator)
 	return root, call
 }
 
-// IsCallOf tells whether an id names a call beneath a request, or a call beneath such a call.
-func IsCallOf(id, request string) bool { return strings.HasPrefix(id, request+callMark) }
+// IsCallOf reports whether id is the id of a call made for a request, directly or through other calls.
+func IsCallOf(id, request string) bool { return strings.HasPrefix(id, request+callSeparator) }
--- a/contract/token.go
+++ b/contract/token.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	// authorization is the field in which callers bear their customer's key.
+	// authorization is the header field in which callers send their customer's key.
 	authorization = "Authorization"
-	// tokenScheme comes before the key there.
+	// tokenScheme is the authentication scheme that precedes the key in that field.
 	tokenScheme = "Token"
 )
 
-// TokenOf reads the customer's key that a request bears. More than one of them, another scheme or no key at all is something
-// that cannot be read, not nothing.
+// TokenOf reads the customer's key of a request. Several fields, another scheme or a missing key count as a credential that
+// cannot be read, not as an absent one.
 func TokenOf(h http.Header) Token {
 	values := h[authorization]
 	if len(values) == 0 {
@@ -27,10 +27,11 @@
 	return t
 }
 
-// KeyField tells whether a field bears a customer's key.
+// IsKeyField reports whether a header field carries a customer's key.
 func IsKeyField(name string) bool { return SameFieldName(name, authorization) }
 
-// SameField tells whether a name stands for a field in whatever spelling: servers behind take other cases, and "_" for "-".
+// SameFieldName reports whether a name denotes the given header field in any spelling: servers behind a node accept other
+// cases, and "_" for "-".
 func SameFieldName(name, field string) bool {
 	return strings.EqualFold(strings.ReplaceAll(name, "_", "-"), field)
 }
--- a/kernel/doc.go
+++ b/kernel/doc.go
@@ -1,2 +1,2 @@
-// Package kernel starts and stops a program's components and lets its services find each other by name.
+// Package kernel starts and stops a program's components, and lets its services look each other up by name.
 package kernel
--- a/kernel/kernel.go
+++ b/kernel/kernel.go
@@ -9,13 +9,13 @@
 
 // Component is a long-lived part of a program.
 type Component interface {
-	// Start begins the work and returns once it can be used.
+	// Start starts the component and returns once it is ready for use.
 	Start(ctx context.Context) error
-	// Stop ends the work; ctx bounds how long it may finish what is in flight.
+	// Stop stops the component; ctx bounds the time for finishing work in flight.
 	Stop(ctx context.Context) error
 }
 
-// Kernel holds the services of one program by name.
+// Kernel is a registry of a program's services by name. It starts and stops those that are components.
 type Kernel struct {
 	mu       sync.RWMutex
 	services map[string]any
@@ -23,12 +23,12 @@
 	started  []Component
 }
 
-// New returns a kernel without services.
+// New returns a kernel with no services.
 func New() *Kernel {
 	return &Kernel{services: make(map[string]any)}
 }
 
-// Register adds a service; components start in the order of their registration.
+// Register adds a service under a name. Components are started in the order of their registration.
 func (k *Kernel) Register(name string, service any) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -36,7 +36,7 @@
 	k.order = append(k.order, name)
 }
 
-// Lookup returns the service of a name, UnknownName if there is none or it is of another type.
+// Lookup returns the service registered under a name. It fails with UnknownName if there is none or it has another type.
 func Lookup[T any](k *Kernel, name string) (T, error) {
 	k.mu.RLock()
 	defer k.mu.RUnlock()
@@ -47,7 +47,7 @@
 	return service, nil
 }
 
-// Start starts every component; when one fails, those already started are stopped again.
+// Start starts every component. If one fails, it stops those already started and returns the error.
 func (k *Kernel) Start(ctx context.Context) error {
 	for _, name := range k.order {
 		c, ok := k.services[name].(Component)
@@ -63,7 +63,8 @@
 	return nil
 }
 
-// Stop stops the started components in reverse order and returns the first failure.
+// Stop stops the started components in reverse order and returns the first error; an error does not keep it from stopping the
+// others.
 func (k *Kernel) Stop(ctx context.Context) error {
 	var first error
 	for i := len(k.started) - 1; i >= 0; i-- {
--- a/signals/doc.go
+++ b/signals/doc.go
@@ -1,5 +1,6 @@
-// Package signals takes the signals to stop from the first moment of a process on.
+// Package signals receives the stop signals, SIGTERM and SIGINT, from the start of the process.
 //
-// A library of the listeners has a handler of its own from the start of the process: until the node asks, a signal would reach that alone and
-// be lost, and later it ends the process by a clock of its own.
+// A library of the listeners installs a signal handler of its own when the process starts. Without this package, a signal that
+// arrives before the node subscribes would reach only that handler and be lost; after that, the handler would still end the
+// process after a timeout of its own.
 package signals
