--- a/trace/sends.go
+++ b/trace/sends.go
@@ -20,7 +20,8 @@
 }
 
 // sendCounts holds the counts of one node's line on the sends to an endpoint, or a sum of such lines. First and Further count
-// first sends, and retries and hedges; OfFurther estimates the calls made by work of retries, and Spent the retries that the budget refused.
+// first sends, and retries and hedges. OfFurther estimates the calls that endpoints made while they handled a retry. Spent
+// counts the retries that the budget refused.
 type sendCounts struct {
 	Event     int       `json:"event"`
 	Service   string    `json:"service"`
@@ -40,7 +41,7 @@
 	return h
 }
 
-// beyond returns the number of sends in addition to the first ones: retries, and calls made by work of retries.
+// beyond returns the number of additional sends: retries and hedges, and calls made while a retry was handled.
 func (h sendCounts) beyond() float64 { return float64(h.Further) + h.OfFurther }
 
 // NewSends returns an empty report.
