--- a/contract/contract.go
+++ b/contract/contract.go
@@ -44,8 +44,8 @@
 
 // Token is the customer's key that a caller sent. It must not be stored, logged or passed on.
 type Token struct {
-	// Present is set when the caller sent a credential, readable or not.
-	Present bool
+	// Borne is set when the caller sent a credential, readable or not.
+	Borne bool
 	// Key is the key, "" if the credential is absent or cannot be read.
 	Key string
 }
@@ -78,15 +78,15 @@
 	ID string
 	// NotRun is set when the endpoint states that it did not run the request.
 	NotRun bool
-	// Misrouted is set, together with NotRun, when another instance answers at the address.
-	Misrouted bool
-	// Draining is set when the endpoint states that it is about to stop.
-	Draining bool
+	// Misplaced is set, together with NotRun, when another instance answers at the address.
+	Misplaced bool
+	// Leaving is set when the endpoint states that it is about to stop.
+	Leaving bool
 	// Load is the load that the endpoint reports.
 	Load Load
-	// Untrusted is set when the answer cannot come from the endpoint itself, or would tell the caller something untrue. It is
+	// Foreign is set when the answer cannot come from the endpoint itself, or would tell the caller something untrue. It is
 	// not passed on.
-	Untrusted bool
+	Foreign bool
 }
 
 // Load is the load that an endpoint reports of itself.
--- a/contract/own.go
+++ b/contract/own.go
@@ -92,7 +92,7 @@
 // Answer implements Contract.
 func (Native) Answer(_ int, h http.Header) Answer {
 	return Answer{
-		ID: h.Get(header.RequestID), NotRun: h.Get(header.NotRun) != "", Draining: h.Get(header.Leaving) != "",
+		ID: h.Get(header.RequestID), NotRun: h.Get(header.NotRun) != "", Leaving: h.Get(header.Leaving) != "",
 	}
 }
 
--- a/contract/token.go
+++ b/contract/token.go
@@ -19,7 +19,7 @@
 	if len(values) == 0 {
 		return Token{}
 	}
-	t := Token{Present: true}
+	t := Token{Borne: true}
 	scheme, key, _ := strings.Cut(strings.TrimSpace(values[0]), " ")
 	if len(values) == 1 && strings.EqualFold(scheme, tokenScheme) {
 		t.Key = strings.TrimSpace(key)
--- a/egress/run.go
+++ b/egress/run.go
@@ -89,13 +89,13 @@
 	}
 	answer := l.contract.Answer(resp.StatusCode, resp.Header)
 	l.reportedLoad.Store(&answer.Load)
-	if answer.NotRun || answer.Untrusted {
+	if answer.NotRun || answer.Foreign {
 		r := rejectedAnswer(resp, answer)
 		resp.Close()
 		h.onDone(r)
 		return r
 	}
-	return l.passAnswer(ctx, resp, answer.Draining, h)
+	return l.passAnswer(ctx, resp, answer.Leaving, h)
 }
 
 // rejectedAnswer is the result of a run whose answer is not passed on.
@@ -114,10 +114,10 @@
 	// The rest of the answer is read so that the connection can be reused.
 	_, _ = io.Copy(io.Discard, resp)
 	end := peer.NotRun(fault.EndpointShed, retryAfterOf(resp.Header))
-	if answer.Misrouted {
+	if answer.Misplaced {
 		end = peer.NotRun(fault.EndpointMoved, shortRetryAfter)
 	}
-	return result{end: end, draining: answer.Draining}
+	return result{end: end, draining: answer.Leaving}
 }
 
 func (l *localEndpoint) request(ctx context.Context, d *peerpb.Dispatch, body io.Reader) upstream.Request {
--- a/ingress/arrivals_test.go
+++ b/ingress/arrivals_test.go
@@ -30,8 +30,8 @@
 // Answer implements contract.Contract.
 func (m misroutedContract) Answer(status int, h http.Header) contract.Answer {
 	a := m.Native.Answer(status, h)
-	a.Misrouted = status == http.StatusMisdirectedRequest
-	a.NotRun = a.NotRun || a.Misrouted || status == http.StatusServiceUnavailable
+	a.Misplaced = status == http.StatusMisdirectedRequest
+	a.NotRun = a.NotRun || a.Misplaced || status == http.StatusServiceUnavailable
 	return a
 }
 
--- a/ingress/call.go
+++ b/ingress/call.go
@@ -101,7 +101,7 @@
 	switch {
 	case bool(c.route.Value.Open):
 		return "", false, nil
-	case c.token.Present:
+	case c.token.Borne:
 		return "", false, fault.New(fault.UnknownToken, "", "no customer holds this key")
 	}
 	return "", false, fault.New(fault.UnknownToken, "", "want a customer's key")
