--- a/announce/reaper.go
+++ b/announce/reaper.go
@@ -16,12 +16,12 @@
 
 // Links opens links to peers and reports their state.
 type Links interface {
-	// Unreachable returns the time since which a peer has been unreachable, the zero time for a peer that is reachable
+	// UnreachableSince returns the time since which a peer has been unreachable, the zero time for a peer that is reachable
 	// or was not tried.
 	UnreachableSince(address string) time.Time
-	// Reached reports whether there is a link to the peer that is not suspect.
+	// LinkHealthy reports whether there is a link to the peer that is not suspect.
 	LinkHealthy(address string) bool
-	// Keep opens a link to a peer and keeps it open.
+	// KeepOpen opens a link to a peer and keeps it open.
 	KeepOpen(address string)
 }
 
--- a/egress/keys.go
+++ b/egress/keys.go
@@ -212,7 +212,7 @@
 	callerLost bool
 }
 
-// HandOver implements peer.HandOver.
+// AllowDispatch implements peer.DispatchGate.
 func (s *replaySink) AllowDispatch() bool { return peer.AllowsDispatch(s.Sink) }
 
 // Head implements peer.Sink.
--- a/ingress/answer.go
+++ b/ingress/answer.go
@@ -59,7 +59,7 @@
 	return &answer{w: w, call: c, contract: ct, mayReplace: c.repeatable, recordBody: c.needsClaim(), due: newDueTimer(), winner: win, progress: new(progress)}
 }
 
-// HandOver implements peer.HandOver.
+// AllowDispatch implements peer.DispatchGate.
 func (a *answer) AllowDispatch() bool {
 	a.dispatched = a.progress.beginDispatch(a)
 	return a.dispatched
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -32,7 +32,7 @@
 
 // Links sends reports to this node's peers.
 type Links interface {
-	// TellEnded sends a report to at most maxPeers connected peers, to all of them if maxPeers is negative. It does not
+	// SendPoisonReport sends a report to at most maxPeers connected peers, to all of them if maxPeers is negative. It does not
 	// wait.
 	SendPoisonReport(report *peerpb.Ended, maxPeers int)
 }
--- a/quarantine/tracker_test.go
+++ b/quarantine/tracker_test.go
@@ -24,7 +24,7 @@
 	all   []*Tracker
 	// deaf are the trackers that receive no reports.
 	deaf map[*Tracker]bool
-	// reports counts the calls of TellEnded.
+	// reports counts the calls of SendPoisonReport.
 	reports int
 }
 
@@ -34,7 +34,7 @@
 	self **Tracker
 }
 
-// TellEnded implements Links.
+// SendPoisonReport implements Links.
 func (l trackerLinks) SendPoisonReport(report *peerpb.Ended, maxPeers int) {
 	l.c.mu.Lock()
 	defer l.c.mu.Unlock()
