--- a/egress/answerstore.go
+++ b/egress/answerstore.go
@@ -174,7 +174,7 @@
 	callerLost bool
 }
 
-// Late implements peer.Sink.
+// ReportOverdue implements peer.Sink.
 func (s *storingSink) ReportOverdue() { s.Sink.ReportOverdue() }
 
 // Due implements peer.Sink.
--- a/ingress/answer.go
+++ b/ingress/answer.go
@@ -80,7 +80,7 @@
 	a.body, a.recordedBody = nil, nil
 }
 
-// Late implements peer.Sink.
+// ReportOverdue implements peer.Sink.
 func (a *answer) ReportOverdue() {
 	a.late.note()
 }
--- a/node/node.go
+++ b/node/node.go
@@ -263,10 +263,10 @@
 	tracker  *quarantine.Tracker
 }
 
-// Ended implements peer.Handler.
+// HandlePoisonReport implements peer.Handler.
 func (h handler) HandlePoisonReport(report *peerpb.Ended) { h.tracker.HandleReport(report) }
 
-// Lend implements peer.Handler.
+// GrantAllotment implements peer.Handler.
 func (h handler) GrantAllotment(customer string, want int) (granted int, wait time.Duration) {
 	allotment := h.limits.Grant(customer, want)
 	return allotment.Count, allotment.RetryDelay
