--- a/demo/proxy.go
+++ b/demo/proxy.go
@@ -11,7 +11,7 @@
 // Direction is one of the two directions of a proxied link.
 type Direction uint8
 
-// The directions, seen from whoever dials.
+// The directions, seen from the side that dials.
 const (
 	// To is towards the address behind the proxy.
 	To Direction = iota
--- a/demo/stop_test.go
+++ b/demo/stop_test.go
@@ -10,11 +10,13 @@
 	"github.com/lynxplank/lynxplank/standin/backend"
 )
 
-// TestStopDuringStart tells of nodes that were stopped again right after their start, and went on: a library's handler, registered as the process
-// starts, was the only one to get a signal that came before the node asked for it. One that came a little later made that handler read what the
-// start was still writing (the race detector's word).
+// TestStopDuringStart guards against a node that ignores a stop signal sent right after its start. A library registers
+// its own signal handler as the process starts: a signal that came before the node had registered its handler reached
+// only the library's, and the node kept running. A signal that came a little later made the library's handler read data
+// that the start was still writing, which the race detector reported.
 //
-// The nodes here are stopped at moments spread over their start. Each ends, and no handler but the node's own acts on its signal.
+// The test stops a node at moments spread over its start. Each time the process must exit, and no handler but the
+// node's own may act on the signal.
 func TestStopDuringStart(t *testing.T) {
 	t.Parallel()
 	const tries, step = 16, 20 * time.Millisecond
--- a/director/evacuated_test.go
+++ b/director/evacuated_test.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// TestExplainNamesTheEvacuation checks that the explanation of an endpoint in an evacuated hall tells who ordered the
-// evacuation and when.
+// TestExplainNamesTheEvacuation checks that the explanation of an endpoint in an evacuated hall names the operator
+// who ordered the evacuation and the time when it began.
 func TestExplainNamesTheEvacuation(t *testing.T) {
 	s := stateWithHalls(t, 2, 2)
 	row := table.Encode(table.KindHall, "hall-1", table.Meta{Revision: 2}, table.Hall{Evacuated: true, Since: 7000, By: "ann"})
--- a/egress/answerbuffer.go
+++ b/egress/answerbuffer.go
@@ -13,7 +13,8 @@
 
 const (
 	// stallTimeout is how long an endpoint's answer is left unread because its caller does not read and there is no
-	// memory to buffer it. An endpoint aborts such an answer by itself soon after, and can bear only a few of them.
+	// memory to buffer it. An endpoint aborts such an answer by itself soon after, and can sustain only a few unread
+	// answers.
 	stallTimeout = 2 * time.Second
 	// reclaimDelay is how long a caller must have read nothing before its answer is given up for another request that
 	// wants the slot. The acknowledgement of a read takes less than that from the farthest hall.
--- a/egress/cold_test.go
+++ b/egress/cold_test.go
@@ -45,8 +45,9 @@
 	return maxArrivals
 }
 
-// coldEndpoint returns an egress with one endpoint that announces itself. While it is cold it bears 20 requests a second,
-// and at most 24 plus a slack of 4 within any one second. report sends a heartbeat that says how long it is still cold.
+// coldEndpoint returns an egress with one endpoint that announces itself. While it is cold it can sustain 20 requests a
+// second, and can serve at most 24 plus a slack of 4 within any one second. report sends a heartbeat that says how long
+// it is still cold.
 func coldEndpoint(t *testing.T) (e *Egress, at *arrivalRecorder, report func(cold time.Duration)) {
 	t.Helper()
 	at = &arrivalRecorder{}
@@ -87,7 +88,7 @@
 }
 
 // TestColdEndpointIsRateLimited sends many requests to an endpoint that reports that it is cold. In no second does it
-// get more than it bears; the other requests are reported as not run, with a time to come back, and those that may
+// get more than it can serve; the other requests are reported as not run, with a time to come back, and those that may
 // wait are admitted later. Once it reports that it is warm, it gets everything.
 func TestColdEndpointIsRateLimited(t *testing.T) {
 	e, at, report := coldEndpoint(t)
@@ -136,7 +137,7 @@
 }
 
 // TestRestoredHallIsPossiblyCold evacuates a hall and ends the evacuation: until its endpoint reports again, it gets
-// no more than a cold one bears.
+// no more than a cold one can serve.
 func TestRestoredHallIsPossiblyCold(t *testing.T) {
 	e, _, report := coldEndpoint(t)
 	report(0)
--- a/egress/stale.go
+++ b/egress/stale.go
@@ -68,7 +68,7 @@
 
 // rowsChanged reports whether, since the revision by which the request was routed, the source has changed or removed
 // the route or given a part of its paths to another route, or has changed or removed the customer whose key the
-// request bears.
+// request carries.
 func rowsChanged(s *table.State, d *peerpb.Dispatch, source table.Source, since uint64) bool {
 	row, ok := s.Route(d.GetRoute())
 	return !ok || row.Source == source && row.Revision > since || s.Shadowed(row, source, since) ||
--- a/poison/record.go
+++ b/poison/record.go
@@ -16,7 +16,7 @@
 	// KeyPrefix starts the keys of these rows in the product's table.
 	KeyPrefix = "fatal/"
 	// BlockThreshold is how many endpoints may crash while they run a request before it is blocked: the most that users
-	// can bear.
+	// can tolerate.
 	BlockThreshold = 3
 	// NoRetryThreshold is the number of crashes from which a request that an endpoint may have received is not sent to
 	// a second one: the third crash must not come from a second send. A harmless request loses one retry by it.
--- a/soak/judge.go
+++ b/soak/judge.go
@@ -153,7 +153,8 @@
 	return err
 }
 
-// rowsNotInForce tells of each accepted change that some node does not hold.
+// rowsNotInForce describes each accepted change that a node does not hold, once for each such node. Changes whose
+// outcome is unknown are skipped.
 func (r *run) rowsNotInForce() (broken []string, err error) {
 	for key, want := range r.weights {
 		if r.unknown[key] {
--- a/standin/backend/http.go
+++ b/standin/backend/http.go
@@ -80,7 +80,8 @@
 		done = false
 	}
 	if !done {
-		// The deadline has passed or the caller is gone; whoever waits will see no answer.
+		// The deadline has passed, the caller is gone or the endpoint has just crashed: a caller that still waits must
+		// get no answer.
 		<-r.Context().Done()
 		return
 	}
